--- a/Makefile
+++ b/Makefile
@@ -28,6 +28,7 @@
 
 tools:
 	cd tools && GOBIN=$(BIN)/tools go install mvdan.cc/gofumpt honnef.co/go/tools/cmd/staticcheck github.com/mgechev/revive
+	cd tools/gopls && GOBIN=$(BIN)/tools go install golang.org/x/tools/gopls # its golang.org/x/tools is older than the others'
 
 lint: tools
 	@out=$$($(BIN)/tools/gofumpt -l $(GO_FILES)); if [ -n "$$out" ]; then echo "gofumpt would change:"; echo "$$out"; exit 1; fi
