--- a/internal/task/action.go
+++ b/internal/task/action.go
@@ -7,27 +7,31 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Action is something that the owner of a Controller carries out for it.
+// Action is an operation that a Controller's caller executes for it: a table
+// transaction or read, a call to a worker, a write to the object store, or a
+// reply to a client.
 type Action interface {
 	action()
 }
 
-// Commit is a transaction to apply; its end goes to Controller.Committed.
+// Commit asks the caller to apply a table transaction and to pass the result to
+// Controller.HandleCommitResult.
 type Commit struct {
 	Number uint64
 	Txn    table.Txn
 }
 
-// Read asks for rows as they are now; they go to Controller.Read.
+// Read asks the caller to read the current version of rows and to pass them to
+// Controller.HandleReadResult.
 type Read struct {
 	Number uint64
 	Keys   []string
 }
 
-// Order is what a Call asks of a worker.
+// Order is the operation that a Call requests from a worker.
 type Order string
 
-// Orders of a Call.
+// Operations that a Call can request.
 const (
 	OrderStart      Order = "start"
 	OrderStop       Order = "stop"
@@ -35,56 +39,60 @@
 	OrderThrottle   Order = "throttle"
 )
 
-// Call is a call to a worker about one attempt; its end goes to
-// Controller.Called, with the call itself.
+// Call asks the caller to send an order about one attempt to a worker, and to
+// pass the call and its answer to Controller.HandleCallResult.
 type Call struct {
 	Order   Order
 	Worker  string
 	StartID string
 	Epoch   uint64
-	// Lease and Record are set for OrderStart. The start must name the
-	// incarnation of the record's attempt.
+	// Lease and Record are set for OrderStart. The start request must carry the
+	// worker incarnation of the record's attempt.
 	Lease  time.Duration
 	Record Record
-	// Rate is set for OrderThrottle.
+	// Rate is the share of full CPU speed; it is set for OrderThrottle.
 	Rate float64
 }
 
-// Poll renews the leases of a worker's attempts and asks for their states, in
-// one call; its end goes to Controller.Polled, with the poll itself.
+// Poll asks the caller to renew the leases of a worker's attempts and to read
+// their states, in one request, and to pass the poll and its result to
+// Controller.HandlePollResult.
 type Poll struct {
 	Worker   string
 	Epoch    uint64
 	Lease    time.Duration
 	StartIDs []string
-	// At is when the poll was wanted. What it does not tell of an attempt that
-	// was first heard of later proves nothing.
-	At time.Time
+	// IssuedAt is when the controller requested the poll. If an attempt was first
+	// reported running after that, its absence from the result proves nothing.
+	IssuedAt time.Time
 }
 
-// Store puts a large result into the object store; its end goes to
-// Controller.Stored.
+// Store asks the caller to write a large result to the object store and to pass
+// the outcome to Controller.HandleStoreResult.
 type Store struct {
 	Name string
 	Data []byte
 }
 
-// Outcome answers a request of Submit or Cancel.
+// Outcome is the result of a Submit or Cancel request.
 type Outcome string
 
-// Outcomes of a request.
+// Outcomes of Submit and Cancel requests.
 const (
-	// Accepted means that the request is in the table.
+	// Accepted means that the request has been written to the table.
 	Accepted Outcome = "accepted"
-	// Exists means that the task had been submitted, or had ended, before.
+	// Exists means that the task was already submitted or, for a cancellation,
+	// already cancelled or ended.
 	Exists Outcome = "exists"
 	// Refused means that the request had no effect.
 	Refused Outcome = "refused"
-	// Unknown means that the request may have had its effect; a repeat tells.
+	// Unknown means that the request may have taken effect; repeating it gives
+	// a definite answer.
 	Unknown Outcome = "unknown"
 )
 
-// Reply ends a request. Task is the task as it stands, if it is known.
+// Reply completes a Submit or Cancel request. Task is the task's current record,
+// if it is known.
 type Reply struct {
 	Request    uint64
 	Outcome    Outcome
@@ -100,10 +108,11 @@
 func (Store) action()  {}
 func (Reply) action()  {}
 
-// CommitResult is how a Commit ended.
+// CommitResult is the result of a Commit.
 type CommitResult string
 
-// Results of a Commit. Anything but CommitUnavailable is settled by reading.
+// Results of a Commit. After any of them but CommitUnavailable, the controller
+// reads the rows back.
 const (
 	CommitApplied     CommitResult = "applied"
 	CommitConflict    CommitResult = "conflict"
@@ -111,7 +120,8 @@
 	CommitUnknown     CommitResult = "unknown"
 )
 
-// AnswerKind is what a worker said of an attempt, or why it said nothing.
+// AnswerKind is the state of an attempt as its worker reported it, or the reason
+// why there is no report.
 type AnswerKind string
 
 // Kinds of an Answer.
@@ -122,25 +132,25 @@
 	AnswerStopped      AnswerKind = "stopped"
 	AnswerCheckpointed AnswerKind = "checkpointed"
 	AnswerLapsed       AnswerKind = "lapsed"
-	// AnswerRefused means that the worker did not and will not start it.
+	// AnswerRefused means that the worker did not start the attempt and will not.
 	AnswerRefused AnswerKind = "refused"
-	// AnswerNoTask means that the worker has not heard of the attempt.
+	// AnswerNoTask means that the worker does not know the attempt.
 	AnswerNoTask AnswerKind = "no-task"
-	// AnswerOtherIncarnation means that another process of the worker answered.
+	// AnswerOtherIncarnation means that a different process of the worker answered.
 	AnswerOtherIncarnation AnswerKind = "other-incarnation"
-	// AnswerStale means that the worker has heard from a later epoch.
+	// AnswerStale means that a manager with a later epoch has called the worker.
 	AnswerStale AnswerKind = "stale"
-	// AnswerNone means that no answer came; the call may have had its effect.
+	// AnswerNone means that no answer arrived; the call may have taken effect.
 	AnswerNone AnswerKind = "none"
 )
 
-// Answer is the end of a Call, or one attempt's part of the end of a Poll.
+// Answer is the result of a Call, or one attempt's part of the result of a Poll.
 type Answer struct {
 	Kind    AnswerKind
 	StartID string
-	// Incarnation is the process that answered.
+	// Incarnation identifies the worker process that answered.
 	Incarnation string
-	// Ran is false for a stopped attempt that had not been started.
+	// Ran is false for an attempt that was stopped before it started.
 	Ran        bool
 	Reason     string
 	Result     []byte
@@ -148,8 +158,8 @@
 	Usage      place.Size
 }
 
-// PollResult is the end of a Poll. Answers holds the attempts that the worker
-// knows; with another Kind than AnswerRunning the poll as a whole failed so.
+// PollResult is the result of a Poll. Answers holds the attempts that the worker
+// knows. A Kind other than AnswerRunning is the reason why the whole poll failed.
 type PollResult struct {
 	Kind        AnswerKind
 	Incarnation string
--- a/internal/task/answer.go
+++ b/internal/task/answer.go
@@ -6,46 +6,46 @@
 	"github.com/lovagedyke/lovagedyke/internal/place"
 )
 
-// Called reports how a Call ended.
-func (c *Controller) Called(now time.Time, call Call, answer Answer) {
-	if c.deposed {
+// HandleCallResult handles the answer to a Call.
+func (c *Controller) HandleCallResult(now time.Time, call Call, answer Answer) {
+	if c.superseded {
 		return
 	}
-	it := c.find(call.Worker, call.StartID)
-	c.heard(call.Worker, answer.Kind)
+	it := c.findAttempt(call.Worker, call.StartID)
+	c.updateSilent(call.Worker, answer.Kind)
 	if it == nil {
 		return
 	}
 	answer.StartID = call.StartID
-	if answer.Kind == AnswerOtherIncarnation && c.onlyStart(it, call) {
-		// The one start that went out was turned away: nothing ran.
+	if answer.Kind == AnswerOtherIncarnation && c.isOnlyStart(it, call) {
+		// The only start request sent was rejected, so nothing ran.
 		c.requeueOrCancel(now, it, it.current())
-		c.act(now, it)
+		c.reconcile(now, it)
 		return
 	}
 	if call.Order == OrderThrottle && answer.Kind == AnswerRunning {
 		it.rate = call.Rate
 	}
-	c.takeAnswer(now, it, answer)
+	c.handleAnswer(now, it, answer)
 }
 
-// onlyStart reports whether the call is the first that any manager made about
-// the attempt.
-func (c *Controller) onlyStart(it *item, call Call) bool {
+// isOnlyStart reports whether the call is the only start request that any
+// manager has sent for the attempt.
+func (c *Controller) isOnlyStart(it *item, call Call) bool {
 	return call.Order == OrderStart && it.starts == 1 && !it.inflight &&
 		it.current().State == Placed && it.record.Attempt.Epoch == c.cfg.Epoch
 }
 
-// Polled reports how a Poll ended.
-func (c *Controller) Polled(now time.Time, poll Poll, result PollResult) {
-	known, ok := c.links[poll.Worker]
-	if c.deposed || !ok {
+// HandlePollResult handles the result of a Poll.
+func (c *Controller) HandlePollResult(now time.Time, poll Poll, result PollResult) {
+	worker, ok := c.workers[poll.Worker]
+	if c.superseded || !ok {
 		return
 	}
-	known.outstanding = false
-	c.heard(poll.Worker, result.Kind)
+	worker.pollInFlight = false
+	c.updateSilent(poll.Worker, result.Kind)
 	if result.Kind == AnswerStale {
-		c.depose()
+		c.supersede()
 		return
 	}
 	if result.Kind == AnswerNone {
@@ -56,25 +56,26 @@
 		answers[answer.StartID] = answer
 	}
 	for _, id := range poll.StartIDs {
-		it := c.find(poll.Worker, id)
+		it := c.findAttempt(poll.Worker, id)
 		if it == nil {
 			continue
 		}
 		answer, known := answers[id]
-		if !known && !it.runsAt.Before(poll.At) {
-			continue // The start may have arrived after the poll.
+		if !known && !it.runningSince.Before(poll.IssuedAt) {
+			continue // The start may have reached the worker after the poll.
 		}
 		if !known {
 			answer = Answer{Kind: AnswerNoTask, StartID: id}
 		}
 		answer.Incarnation = result.Incarnation
-		c.takeAnswer(now, it, answer)
+		c.handleAnswer(now, it, answer)
 	}
 }
 
-// find returns the item whose present attempt on the worker has that id.
-func (c *Controller) find(worker, startID string) *item {
-	known, ok := c.links[worker]
+// findAttempt returns the item whose current attempt has that start ID and is on
+// the worker, or nil.
+func (c *Controller) findAttempt(worker, startID string) *item {
+	state, ok := c.workers[worker]
 	if !ok {
 		return nil
 	}
@@ -82,7 +83,7 @@
 		if startID[end] != '.' {
 			continue
 		}
-		it, ok := known.items[startID[:end]]
+		it, ok := state.items[startID[:end]]
 		if ok && it.record.StartID() == startID {
 			return it
 		}
@@ -91,131 +92,135 @@
 	return nil
 }
 
-// heard notes whether the worker answers.
-func (c *Controller) heard(worker string, kind AnswerKind) {
+// updateSilent records whether the worker answered.
+func (c *Controller) updateSilent(worker string, kind AnswerKind) {
 	c.setSilent(worker, kind == AnswerNone)
 }
 
-// takeAnswer takes in what a worker said of the item's present attempt.
-func (c *Controller) takeAnswer(now time.Time, it *item, answer Answer) {
+// handleAnswer applies a worker's answer about the item's current attempt.
+func (c *Controller) handleAnswer(now time.Time, it *item, answer Answer) {
 	record := it.current()
 	if it.inflight || record.StartID() != answer.StartID {
-		return // A write is under way; the next poll tells again.
+		return // A write is in flight; the next poll reports the state again.
 	}
 	if answer.Incarnation != "" && answer.Incarnation != record.Attempt.Incarnation {
 		answer.Kind = AnswerOtherIncarnation
 	}
 	switch answer.Kind {
 	case AnswerStale:
-		c.depose()
+		c.supersede()
 	case AnswerRunning:
-		c.takeRunning(now, it, record, answer)
+		c.handleRunning(now, it, record, answer)
 	case AnswerDone:
-		c.takeDone(now, it, record, answer)
+		c.handleDone(now, it, record, answer)
 	case AnswerFailed:
-		c.takeFailed(now, it, record, answer)
+		c.handleFailed(now, it, record, answer)
 	case AnswerCheckpointed:
 		record.Ran = RanYes
 		record.Checkpoint = answer.Checkpoint
 		c.requeueOrCancel(now, it, record)
 	case AnswerLapsed:
 		record.Ran = RanYes
-		c.takeLapsed(now, it, record)
+		c.handleLapsed(now, it, record)
 	case AnswerStopped:
-		c.takeStopped(now, it, record, answer)
+		c.handleStopped(now, it, record, answer)
 	case AnswerRefused:
 		c.retry(now, it, record, ReasonDoesNotFit)
 	case AnswerOtherIncarnation:
-		c.lose(now, it)
+		c.handleLost(now, it)
 	case AnswerNoTask:
-		// A start is repeated by itself; a task that ran and has been forgotten
-		// since is stopped, so that no late start can run it again.
-		it.forgotten = record.State == Running
+		// A placed attempt needs nothing: its start is retried anyway. One that
+		// ran and is no longer known to the worker is stopped, so that a delayed
+		// start request cannot run it again.
+		it.unknownToWorker = record.State == Running
 	}
-	c.act(now, it)
+	c.reconcile(now, it)
 }
 
-// takeRunning notes that the attempt runs and what it uses.
-func (c *Controller) takeRunning(now time.Time, it *item, record Record, answer Answer) {
+// handleRunning records that the attempt is running, and its resource usage.
+func (c *Controller) handleRunning(now time.Time, it *item, record Record, answer Answer) {
 	c.cfg.Placer.Report(now, record.Name(), answer.Usage)
 	if record.State == Running {
 		return
 	}
-	it.runsAt = now
+	it.runningSince = now
 	record.State = Running
 	record.Ran = RanYes
 	c.propose(now, it, record)
 }
 
-// takeDone ends the task with its result.
-func (c *Controller) takeDone(now time.Time, it *item, record Record, answer Answer) {
+// handleDone finishes the task. A result too large for the row goes to the
+// object store first.
+func (c *Controller) handleDone(now time.Time, it *item, record Record, answer Answer) {
 	c.release(now, it, place.Succeeded)
 	record.Ran = RanYes
-	if len(answer.Result) <= c.cfg.MaxInline {
+	if len(answer.Result) <= c.cfg.MaxInlineBytes {
 		record.Result = answer.Result
-		c.end(now, it, record, Done, "")
+		c.finish(now, it, record, Done, "")
 		return
 	}
-	if it.result == nil {
-		it.result = &answer
+	if it.storingResult == nil {
+		it.storingResult = &answer
 		c.emit(Store{Name: resultName(answer.StartID), Data: answer.Result})
 	}
 }
 
-// resultName is the name of the object that holds a large result.
+// resultName returns the name of the object that holds a large result.
 func resultName(startID string) string {
 	return "result/" + startID
 }
 
-// Stored reports whether a Store has been carried out.
-func (c *Controller) Stored(now time.Time, store Store, ok bool) {
-	if c.deposed {
+// HandleStoreResult handles the result of a Store; ok is false if it failed.
+func (c *Controller) HandleStoreResult(now time.Time, store Store, ok bool) {
+	if c.superseded {
 		return
 	}
-	for _, name := range c.names {
-		for _, it := range c.links[name].items {
-			if it.result == nil || resultName(it.result.StartID) != store.Name {
+	for _, name := range c.workerNames {
+		for _, it := range c.workers[name].items {
+			if it.storingResult == nil || resultName(it.storingResult.StartID) != store.Name {
 				continue
 			}
-			// The next poll brings the result again after a failure.
-			it.result = nil
+			// After a failure, the next poll returns the result again.
+			it.storingResult = nil
 			if !ok || it.inflight {
 				return
 			}
 			record := it.current()
 			record.Ran = RanYes
 			record.ResultObject = store.Name
-			c.end(now, it, record, Done, "")
+			c.finish(now, it, record, Done, "")
 			return
 		}
 	}
 }
 
-// takeFailed retries the task elsewhere, or ends it if it must not be repeated.
-func (c *Controller) takeFailed(now time.Time, it *item, record Record, answer Answer) {
+// handleFailed retries the task on another worker, or finishes it if it was
+// cancelled or must not be repeated.
+func (c *Controller) handleFailed(now time.Time, it *item, record Record, answer Answer) {
 	c.release(now, it, place.Failed)
 	record.Ran = RanYes
 	switch {
 	case record.Cancel || it.cancel:
-		c.end(now, it, record, Cancelled, ReasonCancelled)
+		c.finish(now, it, record, Cancelled, ReasonCancelled)
 	case record.Once:
-		c.end(now, it, record, Failed, answer.Reason)
+		c.finish(now, it, record, Failed, answer.Reason)
 	default:
 		c.retry(now, it, record, answer.Reason)
 	}
 }
 
-// takeLapsed handles an attempt that its worker stopped for want of renewals.
-func (c *Controller) takeLapsed(now time.Time, it *item, record Record) {
+// handleLapsed handles an attempt that its worker stopped because its lease was
+// not renewed.
+func (c *Controller) handleLapsed(now time.Time, it *item, record Record) {
 	if record.Once && !record.Cancel {
-		c.end(now, it, record, Failed, ReasonLeaseLapsed)
+		c.finish(now, it, record, Failed, ReasonLeaseLapsed)
 		return
 	}
 	c.requeueOrCancel(now, it, record)
 }
 
-// takeStopped handles an attempt that was stopped, perhaps before it began.
-func (c *Controller) takeStopped(now time.Time, it *item, record Record, answer Answer) {
+// handleStopped handles an attempt that was stopped, possibly before it started.
+func (c *Controller) handleStopped(now time.Time, it *item, record Record, answer Answer) {
 	if answer.Ran || record.State == Running {
 		record.Ran = RanYes
 	}
@@ -224,16 +229,16 @@
 		return
 	}
 	if record.Cancel || it.cancel {
-		c.end(now, it, record, Cancelled, ReasonCancelled)
+		c.finish(now, it, record, Cancelled, ReasonCancelled)
 		return
 	}
-	c.end(now, it, record, GivenUp, ReasonOutcomeUnknown)
+	c.finish(now, it, record, GivenUp, ReasonOutcomeUnknown)
 }
 
-// requeueOrCancel ends a cancelled task and queues any other again.
+// requeueOrCancel finishes a cancelled task and requeues any other.
 func (c *Controller) requeueOrCancel(now time.Time, it *item, record Record) {
 	if record.Cancel || it.cancel {
-		c.end(now, it, record, Cancelled, ReasonCancelled)
+		c.finish(now, it, record, Cancelled, ReasonCancelled)
 		return
 	}
 	c.requeue(now, it, record)
--- a/internal/task/bench_test.go
+++ b/internal/task/bench_test.go
@@ -15,9 +15,9 @@
 
 const benchWorkers = 63 // 1,700 workers in 27 pools
 
-// newLoaded returns a controller with running tasks on a pool's workers, and the
-// bytes of memory that each task takes.
-func newLoaded(b *testing.B, now time.Time, tasks int) (*task.Controller, float64) {
+// newLoadedController returns a controller with running tasks on a pool's workers,
+// and the heap bytes per task.
+func newLoadedController(b *testing.B, now time.Time, tasks int) (*task.Controller, float64) {
 	b.Helper()
 	rows := make([]table.Row, tasks)
 	for i := range rows {
@@ -25,7 +25,7 @@
 		s.Body = make([]byte, 200)
 		record := task.Record{
 			Spec: s, State: task.Running, Ran: task.RanYes, Attempts: 1, Submitted: now, Changed: now,
-			Attempt: &task.Attempt{Number: 1, Worker: fmt.Sprintf("worker-%02d", i%benchWorkers), Incarnation: "a", At: now},
+			Attempt: &task.Attempt{Number: 1, Worker: fmt.Sprintf("worker-%02d", i%benchWorkers), Incarnation: "a", PlacedAt: now},
 		}
 		value, err := json.Marshal(record)
 		if err != nil {
@@ -47,13 +47,13 @@
 	return controller, (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(tasks)
 }
 
-// BenchmarkRunningTasks measures a second of a shard whose tasks all run: ten
-// steps with the polls that fall due in them.
+// BenchmarkRunningTasks measures one second of a shard whose tasks are all
+// running: ten steps with the polls due in them.
 func BenchmarkRunningTasks(b *testing.B) {
 	for _, tasks := range []int{250, 500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("tasks-%d", tasks), func(b *testing.B) {
 			now := time.Unix(1_000_000, 0)
-			controller, bytesPerTask := newLoaded(b, now, tasks)
+			controller, bytesPerTask := newLoadedController(b, now, tasks)
 			now = now.Add(10 * time.Minute)
 			polls := 0
 			for b.Loop() {
@@ -62,7 +62,7 @@
 					for _, action := range controller.Step(now) {
 						if poll, ok := action.(task.Poll); ok {
 							polls++
-							controller.Polled(now, poll, stillRunning(poll))
+							controller.HandlePollResult(now, poll, stillRunning(poll))
 						}
 					}
 				}
@@ -73,9 +73,9 @@
 	}
 }
 
-// BenchmarkBacklog measures a second of a full shard with waiting tasks of 130
-// teams, in which ten tasks end and ten others take their places. Carrying the
-// actions out is not counted.
+// BenchmarkBacklog measures one second of a full shard with waiting tasks of 130
+// teams, in which ten tasks end and ten others start. The time to execute the
+// actions is excluded.
 func BenchmarkBacklog(b *testing.B) {
 	for _, waiting := range []int{130, 1300, 2600, 5200} {
 		b.Run(fmt.Sprintf("waiting-%d", waiting), func(b *testing.B) {
@@ -84,10 +84,10 @@
 			for b.Loop() {
 				for range 10 {
 					now = now.Add(100 * time.Millisecond)
-					shard.endOne(now)
+					shard.finishOldest(now)
 					actions := shard.controller.Step(now)
 					b.StopTimer()
-					shard.carryOut(now, actions)
+					shard.execute(now, actions)
 					b.StartTimer()
 				}
 			}
@@ -96,7 +96,7 @@
 	}
 }
 
-// fullShard is a controller whose workers take every start.
+// fullShard is a controller whose workers accept every start.
 type fullShard struct {
 	controller *task.Controller
 	store      *table.Memory
@@ -108,7 +108,7 @@
 func newFullShard(now time.Time, waiting int) *fullShard {
 	s := &fullShard{store: table.NewMemory(), controller: task.New(task.Config{
 		Shard: "pool-a", Epoch: 1, Fence: table.Condition{Key: "fence"}, Placer: place.New(place.Config{}),
-		CommitEvery: time.Millisecond, Retain: time.Second,
+		CommitInterval: time.Millisecond, RetentionPeriod: time.Second,
 	})}
 	for i := range benchWorkers {
 		s.controller.Join(now, place.Worker{Name: fmt.Sprintf("worker-%02d", i), Size: place.Size{CPUs: 16, Memory: 64 << 30}}, "a")
@@ -117,7 +117,7 @@
 		s.submit(now)
 	}
 	for range 200 {
-		s.carryOut(now, s.controller.Step(now))
+		s.execute(now, s.controller.Step(now))
 		now = now.Add(time.Millisecond)
 	}
 	return s
@@ -130,37 +130,37 @@
 	s.controller.Submit(now, 0, next)
 }
 
-// endOne ends the oldest running task and submits another in its place.
-func (s *fullShard) endOne(now time.Time) {
+// finishOldest ends the oldest running task and submits another one.
+func (s *fullShard) finishOldest(now time.Time) {
 	if len(s.running) == 0 {
 		return
 	}
 	oldest := s.running[0]
 	s.running = s.running[1:]
 	s.ended++
-	s.controller.Called(now, oldest, task.Answer{Kind: task.AnswerDone, Incarnation: "a"})
+	s.controller.HandleCallResult(now, oldest, task.Answer{Kind: task.AnswerDone, Incarnation: "a"})
 	s.submit(now)
 }
 
-func (s *fullShard) carryOut(now time.Time, actions []task.Action) {
+func (s *fullShard) execute(now time.Time, actions []task.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case task.Commit:
 			_ = s.store.Commit(context.Background(), action.Txn)
-			s.controller.Committed(now, action.Number, task.CommitApplied)
+			s.controller.HandleCommitResult(now, action.Number, task.CommitApplied)
 		case task.Read:
 			rows, _ := s.store.Get(context.Background(), action.Keys...)
-			s.controller.Read(now, action.Number, rows, true)
+			s.controller.HandleReadResult(now, action.Number, rows, true)
 		case task.Call:
 			s.running = append(s.running, action)
-			s.controller.Called(now, action, task.Answer{Kind: task.AnswerRunning, Incarnation: "a"})
+			s.controller.HandleCallResult(now, action, task.Answer{Kind: task.AnswerRunning, Incarnation: "a"})
 		case task.Poll:
-			s.controller.Polled(now, action, stillRunning(action))
+			s.controller.HandlePollResult(now, action, stillRunning(action))
 		}
 	}
 }
 
-// stillRunning answers that all polled tasks run.
+// stillRunning returns a result that reports all polled tasks as running.
 func stillRunning(poll task.Poll) task.PollResult {
 	result := task.PollResult{Kind: task.AnswerRunning, Incarnation: "a"}
 	for _, id := range poll.StartIDs {
--- a/internal/task/commit.go
+++ b/internal/task/commit.go
@@ -7,25 +7,29 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// unread is the version of a row that was written and has not been read since.
-const unread = ^uint64(0)
+// unknownVersion stands for the version of a row that was written and not read
+// back yet.
+const unknownVersion = ^uint64(0)
 
 const (
-	firstBackoff   = 50 * time.Millisecond
-	longestBackoff = 2 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// batch is the one transaction that is on its way or not settled yet.
+// batch is the transaction in flight or waiting for its rows to be read back.
+// There is at most one.
 type batch struct {
 	number uint64
 	items  []*item
-	// reading is set while the rows are being read; readAt is when to ask again.
+	// reading is set while the rows are being read.
 	reading bool
-	settle  bool
-	readAt  time.Time
+	// needsRead is set once the commit has ended and its rows must be read back,
+	// not before nextReadAt.
+	needsRead  bool
+	nextReadAt time.Time
 }
 
-// markDirty queues the item's wanted write.
+// markDirty queues the item's pending write for the next transaction.
 func (c *Controller) markDirty(it *item) {
 	if it.dirty {
 		return
@@ -35,16 +39,16 @@
 	c.dirty[rank] = append(c.dirty[rank], it)
 }
 
-// flush sends the next transaction if none is unsettled.
+// flush sends the next transaction unless one is still unresolved.
 func (c *Controller) flush(now time.Time) {
 	if c.batch != nil {
 		c.readBatch(now)
 		return
 	}
-	if now.Before(c.commitAt) {
+	if now.Before(c.nextCommitAt) {
 		return
 	}
-	items := c.takeDirty()
+	items := c.collectDirty()
 	if len(items) == 0 {
 		return
 	}
@@ -57,26 +61,27 @@
 			txn.Writes = append(txn.Writes, table.Write{Key: key, Delete: true})
 			continue
 		}
-		txn.Writes = append(txn.Writes, table.Write{Key: key, Value: encode(*it.next)})
+		txn.Writes = append(txn.Writes, table.Write{Key: key, Value: encode(*it.pending)})
 	}
-	c.batches++
-	c.batch = &batch{number: c.batches, items: items}
-	earliest := now.Add(-commitBurst * c.cfg.CommitEvery)
-	if c.commitAt.Before(earliest) {
-		c.commitAt = earliest
+	c.lastBatch++
+	c.batch = &batch{number: c.lastBatch, items: items}
+	earliest := now.Add(-commitBurst * c.cfg.CommitInterval)
+	if c.nextCommitAt.Before(earliest) {
+		c.nextCommitAt = earliest
 	}
-	c.commitAt = c.commitAt.Add(c.cfg.CommitEvery)
-	c.emit(Commit{Number: c.batches, Txn: txn})
+	c.nextCommitAt = c.nextCommitAt.Add(c.cfg.CommitInterval)
+	c.emit(Commit{Number: c.lastBatch, Txn: txn})
 }
 
-// takeDirty removes up to a batch of items from the queues, urgent ones first.
-func (c *Controller) takeDirty() []*item {
+// collectDirty removes up to maxBatchRows items from the write queues, the most
+// urgent class first.
+func (c *Controller) collectDirty() []*item {
 	var items []*item
 	for rank := range c.dirty {
 		n := min(len(c.dirty[rank]), maxBatchRows-len(items))
 		for _, it := range c.dirty[rank][:n] {
 			it.dirty = false
-			if it.next != nil || it.remove {
+			if it.pending != nil || it.remove {
 				items = append(items, it)
 			}
 		}
@@ -85,15 +90,15 @@
 	return items
 }
 
-// key is the key of the item's row.
+// key returns the key of the item's row.
 func (it *item) key() string {
 	record := it.current()
 	return Key(record.Queue, record.ID)
 }
 
-// Committed reports how a Commit ended.
-func (c *Controller) Committed(now time.Time, number uint64, result CommitResult) {
-	if c.deposed || c.batch == nil || c.batch.number != number || c.batch.settle {
+// HandleCommitResult handles the result of a Commit.
+func (c *Controller) HandleCommitResult(now time.Time, number uint64, result CommitResult) {
+	if c.superseded || c.batch == nil || c.batch.number != number || c.batch.needsRead {
 		return
 	}
 	if result == CommitUnknown {
@@ -103,18 +108,18 @@
 	}
 	if result == CommitApplied {
 		for _, it := range c.batch.items {
-			c.applied(now, it)
+			c.confirmWrite(now, it)
 		}
 	}
 	if result != CommitUnavailable {
-		// Also after success the rows are read, for their new versions.
-		c.batch.settle = true
+		// The rows are read back after success too, to get their new versions.
+		c.batch.needsRead = true
 		c.readBatch(now)
 		return
 	}
 	items := c.batch.items
 	c.batch = nil
-	c.delay(now)
+	c.increaseBackoff(now)
 	for _, it := range items {
 		it.inflight = false
 		if it.version == table.Absent && !it.uncertain {
@@ -123,39 +128,40 @@
 			continue
 		}
 		c.markDirty(it)
-		c.act(now, it)
+		c.reconcile(now, it)
 	}
 }
 
-// applied acts on a write that is known to be in the table. The row's version,
-// which the next write needs, is read afterwards.
-func (c *Controller) applied(now time.Time, it *item) {
+// confirmWrite applies a write that is known to be in the table. The row's
+// version, which the next write needs, is read afterwards.
+func (c *Controller) confirmWrite(now time.Time, it *item) {
 	if it.remove {
 		return
 	}
 	it.inflight = false
-	c.adopt(now, it, *it.next, unread)
-	c.replyWritten(it)
-	c.act(now, it)
+	c.applyRecord(now, it, *it.pending, unknownVersion)
+	c.replyPersisted(it)
+	c.reconcile(now, it)
 }
 
-// replyWritten answers the requests whose wish is in the table.
-func (c *Controller) replyWritten(it *item) {
+// replyPersisted accepts the waiting requests once their effect is in the table.
+func (c *Controller) replyPersisted(it *item) {
 	if it.cancel && !it.record.Cancel && !it.record.State.Final() {
-		return // The cancellation is still to be written.
+		return // The cancellation has not been written yet.
 	}
 	c.reply(it, Accepted, "", 0)
 }
 
-// delay waits longer after each call that the table did not take.
-func (c *Controller) delay(now time.Time) {
-	c.backoff = min(max(2*c.backoff, firstBackoff), longestBackoff)
-	c.commitAt = now.Add(c.backoff)
+// increaseBackoff doubles the delay before the next transaction, up to
+// maxBackoff.
+func (c *Controller) increaseBackoff(now time.Time) {
+	c.backoff = min(max(2*c.backoff, minBackoff), maxBackoff)
+	c.nextCommitAt = now.Add(c.backoff)
 }
 
-// readBatch asks for the rows of the unsettled transaction.
+// readBatch requests the rows of the transaction that is to be read back.
 func (c *Controller) readBatch(now time.Time) {
-	if !c.batch.settle || c.batch.reading || now.Before(c.batch.readAt) {
+	if !c.batch.needsRead || c.batch.reading || now.Before(c.batch.nextReadAt) {
 		return
 	}
 	c.batch.reading = true
@@ -166,20 +172,20 @@
 	c.emit(Read{Number: c.batch.number, Keys: keys})
 }
 
-// Read reports the rows that a Read asked for, in the order of its keys; ok is
-// false if they could not be read.
-func (c *Controller) Read(now time.Time, number uint64, rows []table.Row, ok bool) {
-	if c.deposed || c.batch == nil || c.batch.number != number || !c.batch.reading {
+// HandleReadResult handles the rows that a Read requested, in the order of its
+// keys; ok is false if they could not be read.
+func (c *Controller) HandleReadResult(now time.Time, number uint64, rows []table.Row, ok bool) {
+	if c.superseded || c.batch == nil || c.batch.number != number || !c.batch.reading {
 		return
 	}
 	c.batch.reading = false
 	if !ok || len(rows) != len(c.batch.items)+1 {
-		c.delay(now)
-		c.batch.readAt = c.commitAt
+		c.increaseBackoff(now)
+		c.batch.nextReadAt = c.nextCommitAt
 		return
 	}
 	if rows[0].Version != c.cfg.Fence.Version {
-		c.depose()
+		c.supersede()
 		return
 	}
 	c.backoff = 0
@@ -187,65 +193,66 @@
 	c.batch = nil
 	for i, it := range items {
 		it.inflight = false
-		c.settle(now, it, rows[i+1])
+		c.resolveWrite(now, it, rows[i+1])
 	}
 }
 
-// settle compares the item's wanted write with its row.
-func (c *Controller) settle(now time.Time, it *item, row table.Row) {
+// resolveWrite compares the item's pending write with its row in the table.
+func (c *Controller) resolveWrite(now time.Time, it *item, row table.Row) {
 	switch {
 	case row.Version == table.Absent && it.version == table.Absent:
 		c.markDirty(it) // The submission has not been applied.
 	case row.Version == table.Absent:
-		// Removed, by this manager or by an operator.
+		// The row was removed, by this manager or by an operator.
 		c.release(now, it, place.Ended)
 		c.reply(it, Unknown, ReasonNoSuchTask, 0)
 		c.drop(it)
 		return
 	case row.Version == it.version:
-		c.markDirty(it) // Not applied; if it is later, the next try conflicts.
+		c.markDirty(it) // Not applied. If it is applied later, the retry conflicts.
 	default:
-		c.take(now, it, row)
+		c.applyRow(now, it, row)
 	}
-	c.act(now, it)
+	c.reconcile(now, it)
 }
 
-// take adopts the row, which is the wanted write or another's.
-func (c *Controller) take(now time.Time, it *item, row table.Row) {
+// applyRow replaces the item's record by its row, which holds either the pending
+// write or a write by another process.
+func (c *Controller) applyRow(now time.Time, it *item, row table.Row) {
 	record, err := Decode(row)
 	if err != nil {
-		// Nothing that this version understands may be done about the task.
+		// This version cannot decode the row, so it leaves the task alone.
 		c.reply(it, Unknown, ReasonOtherSpec, 0)
 		c.drop(it)
 		return
 	}
-	wanted := it.next
+	wanted := it.pending
 	ours := wanted != nil && wanted.Stamp == record.Stamp
-	if it.version == unread && record.Stamp == it.record.Stamp {
+	if it.version == unknownVersion && record.Stamp == it.record.Stamp {
 		it.version = row.Version
 		return
 	}
 	first := it.version == table.Absent
 	it.remove = false
-	c.adopt(now, it, record, row.Version)
+	c.applyRecord(now, it, record, row.Version)
 	switch {
 	case first && !ours && wanted.digest() != record.digest():
 		c.reply(it, Refused, ReasonOtherSpec, 0)
 	case first && !ours:
 		c.reply(it, Exists, "", 0)
 	default:
-		c.replyWritten(it)
+		c.replyPersisted(it)
 	}
 }
 
-// drop forgets the item.
+// drop removes the item from memory.
 func (c *Controller) drop(it *item) {
 	record := it.current()
 	if record.Attempt != nil {
-		c.unlink(record.Attempt.Worker, it)
+		c.detach(record.Attempt.Worker, it)
 	}
 	it.waiting = false
-	it.next = nil
+	it.pending = nil
 	it.remove = false
 	c.setOpen(it, false)
 	c.cfg.Placer.Forget(record.Name())
--- a/internal/task/controller.go
+++ b/internal/task/controller.go
@@ -1,30 +1,34 @@
-// Package task decides the life of the tasks of one shard: which are placed,
-// started, asked after, stopped, given up and removed.
+// Package task manages the lifecycle of one shard's tasks: it places them on
+// workers, starts, polls, throttles and stops them, retries failures, and removes
+// the rows of ended tasks.
 //
-// Each task is a row of the table. A row is written only on condition that it
-// still has the version that was read and that the shard's fence row is
-// unchanged, so that a manager that lost the shard can write nothing. A start
-// goes out only after its placement is in the table, always under the same id
-// to the same process of the same worker, and a worker runs an id at most once.
-// A task is placed elsewhere only once its worker said that the attempt has
-// ended, or once that process of the worker is known to be gone.
+// Each task is a row of the table. A row is written only on condition that its
+// version and the shard's fence row are unchanged since they were read, so a
+// manager that has lost the shard cannot write. A start request is sent only
+// after the placement has been written to the table. It always carries the same
+// ID and goes to the same process of the same worker, and a worker runs an ID at
+// most once. A task is placed on another worker only after the first worker has
+// reported the end of the attempt, or after that worker process is known to be
+// gone.
 //
 // # Usage
 //
-//	// After the fence row was written with this manager's epoch, which is higher
-//	// than any before it:
+//	// The fence row already holds this manager's epoch, which must be higher
+//	// than all earlier ones.
 //	controller := task.New(task.Config{Shard: "pool-a", Epoch: 7, Fence: fence, Placer: placer})
-//	broken := controller.Load(now, rows) // a scan of task.Prefix of each queue, read after that write
+//	// The rows are scans of task.Prefix of each queue, read after the fence write.
+//	broken := controller.Load(now, rows)
 //	controller.Join(now, place.Worker{...}, incarnation)
 //	controller.Submit(now, request, spec)
 //	for _, action := range controller.Step(now) {
-//		// Carry it out, and report its end to Committed, Read, Called, Polled
-//		// or Stored. A Reply ends a request of Submit or Cancel.
+//		// Execute it and pass the result to HandleCommitResult,
+//		// HandleReadResult, HandleCallResult, HandlePollResult or
+//		// HandleStoreResult. A Reply completes a Submit or Cancel request.
 //	}
 //
-// Every action must be reported on, also when it failed.
-// Step is called after each report and at least every 100 ms. A Controller is
-// not safe for concurrent use; time is an argument.
+// The result of every action but Reply must be passed back, also if it failed.
+// Call Step after each result and at least every 100 ms. A Controller is not
+// safe for concurrent use. It reads no clock: the time is an argument.
 package task
 
 import (
@@ -36,7 +40,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Placer chooses workers; *place.Placer is one.
+// Placer chooses workers for tasks. It is implemented by *place.Placer.
 type Placer interface {
 	Join(worker place.Worker)
 	Leave(worker string)
@@ -52,128 +56,132 @@
 	Expected(queue string, declared time.Duration) time.Duration
 }
 
-// Config describes a shard under one manager's epoch. Zero durations and counts
-// mean the defaults.
+// Config configures a Controller. Zero durations and counts mean the defaults.
 type Config struct {
 	Shard string
 	Epoch uint64
-	// Fence is the row that a later manager of the shard will have changed.
+	// Fence is the condition that the shard's fence row is unchanged. A later
+	// manager of the shard changes that row.
 	Fence  table.Condition
 	Placer Placer
-	// Lease is how long a worker runs a task without hearing from a manager.
+	// Lease is how long a worker runs a task without a renewal from a manager.
 	Lease time.Duration
-	// RetryAfter is the wait before a call without an answer is made again.
+	// RetryAfter is the delay before an unanswered call is retried.
 	RetryAfter time.Duration
-	// CommitEvery is the mean time between transactions of up to 100 rows; a few
-	// may follow each other at once.
-	CommitEvery time.Duration
-	// Retain is how long the row of an ended task is kept.
-	Retain time.Duration
-	// MaxWorkers is the number of workers on which a task may fail.
-	MaxWorkers int
-	// MaxFailures is the number of failures of a task on any workers.
+	// CommitInterval is the mean time between transactions of up to 100 rows each.
+	// A few may follow each other without a pause.
+	CommitInterval time.Duration
+	// RetentionPeriod is how long the row of an ended task is kept.
+	RetentionPeriod time.Duration
+	// MaxFailedWorkers is the number of different workers on which a task may fail
+	// before it is given up.
+	MaxFailedWorkers int
+	// MaxFailures is the total number of failures after which a task is given up.
 	MaxFailures int
-	// MaxInline bounds the bytes of a body or a result in a row.
-	MaxInline int
+	// MaxInlineBytes is the maximum size of a body or result stored in the row.
+	MaxInlineBytes int
 }
 
 const (
-	defaultLease       = 30 * time.Second
-	defaultRetryAfter  = 500 * time.Millisecond
-	defaultCommitEvery = 200 * time.Millisecond
-	defaultRetain      = 24 * time.Hour
-	defaultMaxWorkers  = 3
-	defaultMaxFailures = 5
-	defaultMaxInline   = 4096
-	maxBatchRows       = 100
-	commitBurst        = 5
+	defaultLease            = 30 * time.Second
+	defaultRetryAfter       = 500 * time.Millisecond
+	defaultCommitInterval   = 200 * time.Millisecond
+	defaultRetentionPeriod  = 24 * time.Hour
+	defaultMaxFailedWorkers = 3
+	defaultMaxFailures      = 5
+	defaultMaxInlineBytes   = 4096
+	maxBatchRows            = 100
+	commitBurst             = 5
 )
 
-// withDefaults fills in what is zero.
+// withDefaults replaces zero values by the defaults.
 func (c Config) withDefaults() Config {
 	c.Lease = orDefault(c.Lease, defaultLease)
 	c.RetryAfter = orDefault(c.RetryAfter, defaultRetryAfter)
-	c.CommitEvery = orDefault(c.CommitEvery, defaultCommitEvery)
-	c.Retain = orDefault(c.Retain, defaultRetain)
-	c.MaxWorkers = orDefault(c.MaxWorkers, defaultMaxWorkers)
+	c.CommitInterval = orDefault(c.CommitInterval, defaultCommitInterval)
+	c.RetentionPeriod = orDefault(c.RetentionPeriod, defaultRetentionPeriod)
+	c.MaxFailedWorkers = orDefault(c.MaxFailedWorkers, defaultMaxFailedWorkers)
 	c.MaxFailures = orDefault(c.MaxFailures, defaultMaxFailures)
-	c.MaxInline = orDefault(c.MaxInline, defaultMaxInline)
+	c.MaxInlineBytes = orDefault(c.MaxInlineBytes, defaultMaxInlineBytes)
 	return c
 }
 
-// orDefault returns value unless it is zero.
-func orDefault[T comparable](value, standard T) T {
+// orDefault returns value, or fallback if value is zero.
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
-		return standard
+		return fallback
 	}
 	return value
 }
 
-// Controller holds the tasks of one shard.
+// Controller is the state machine that manages the tasks of one shard.
 type Controller struct {
-	cfg     Config
-	items   map[string]*item
-	lanes   map[place.Class]*laneSet
-	running map[LaneKey]int
-	open    map[LaneKey]int
-	// heldAt counts the attempts on each worker that may run or be started there.
-	heldAt   map[string]int
-	limits   map[LaneKey]Limit
-	links    map[string]*link
-	names    []string
-	timers   timerHeap
-	dirty    [][]*item
-	batch    *batch
-	batches  uint64
-	writes   uint64
-	commitAt time.Time
-	backoff  time.Duration
-	// scheduleAt is when waiting tasks are next looked at.
-	scheduleAt time.Time
-	actions    []Action
-	deposed    bool
+	cfg            Config
+	items          map[string]*item
+	waitingByClass map[place.Class]*waitingTasks
+	running        map[TeamQueue]int
+	openTasks      map[TeamQueue]int
+	// attemptsByWorker counts, per worker, the attempts that may be running or may
+	// still be started there.
+	attemptsByWorker map[string]int
+	limits           map[TeamQueue]Limit
+	workers          map[string]*workerState
+	workerNames      []string
+	timers           timerHeap
+	dirty            [][]*item
+	batch            *batch
+	lastBatch        uint64
+	lastWrite        uint64
+	nextCommitAt     time.Time
+	backoff          time.Duration
+	// nextScheduleAt is the earliest time of the next attempt to place waiting
+	// tasks.
+	nextScheduleAt time.Time
+	actions        []Action
+	superseded     bool
 }
 
-// item is a task with what this manager is doing about it.
+// item is a task with this manager's in-memory state about it.
 type item struct {
 	record  Record
 	version uint64
-	// next is the write that is wanted but not known to be in the table.
-	next     *Record
+	// pending is the write that is not known to be in the table yet.
+	pending  *Record
 	remove   bool
 	dirty    bool
 	inflight bool
-	// uncertain is set when an earlier write of the submission may yet land.
+	// uncertain is set if an earlier write of the submission may still be applied.
 	uncertain bool
 	waiters   []uint64
 
-	// digest stands for the spec, whose body is not kept once the task has ended.
-	digest  uint64
-	open    bool
-	cancel  bool
-	waiting bool
-	wakeAt  time.Time
-	counted bool
-	heldAt  string
-	// starts is the number of starts that this manager sent for the attempt.
+	// digest identifies the spec, whose body is dropped once the task has ended.
+	digest         uint64
+	open           bool
+	cancel         bool
+	waiting        bool
+	wakeAt         time.Time
+	countedRunning bool
+	reservedOn     string
+	// starts counts the start requests that this manager has sent for the attempt.
 	starts int
-	// runsAt is when this manager learned that the attempt runs.
-	runsAt     time.Time
-	callAt     time.Time
-	lostAt     time.Time
-	checkpoint bool
-	forgotten  bool
-	rate       float64
-	wantRate   float64
-	// result is the answer whose result is being put into the object store.
-	result *Answer
+	// runningSince is when this manager first observed that the attempt runs.
+	runningSince    time.Time
+	nextCallAt      time.Time
+	lostAt          time.Time
+	checkpoint      bool
+	unknownToWorker bool
+	rate            float64
+	targetRate      float64
+	// storingResult is the answer whose result is being written to the object
+	// store.
+	storingResult *Answer
 }
 
-// current is the record as it will be once the wanted write is made.
+// current returns the record with the pending write applied.
 func (it *item) current() Record {
-	if it.next != nil {
-		return *it.next
+	if it.pending != nil {
+		return *it.pending
 	}
 	return it.record
 }
@@ -181,23 +189,24 @@
 // New returns a controller without tasks.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		cfg:     cfg.withDefaults(),
-		items:   make(map[string]*item),
-		lanes:   make(map[place.Class]*laneSet),
-		running: make(map[LaneKey]int),
-		open:    make(map[LaneKey]int),
-		heldAt:  make(map[string]int),
-		links:   make(map[string]*link),
-		dirty:   make([][]*item, len(place.Classes())),
+		cfg:              cfg.withDefaults(),
+		items:            make(map[string]*item),
+		waitingByClass:   make(map[place.Class]*waitingTasks),
+		running:          make(map[TeamQueue]int),
+		openTasks:        make(map[TeamQueue]int),
+		attemptsByWorker: make(map[string]int),
+		workers:          make(map[string]*workerState),
+		dirty:            make([][]*item, len(place.Classes())),
 	}
 	for _, class := range place.Classes() {
-		c.lanes[class] = newLaneSet()
+		c.waitingByClass[class] = newWaitingTasks()
 	}
 	return c
 }
 
-// Load takes in the rows of the shard's queues. They must have been read after
-// the fence row was written. It returns the keys of rows that are not tasks.
+// Load adds the tasks of the shard's queues. The rows must have been read after
+// the fence row was written. Load returns the keys of rows that are not valid
+// tasks.
 func (c *Controller) Load(now time.Time, rows []table.Row) []string {
 	var broken []string
 	for _, row := range rows {
@@ -206,20 +215,20 @@
 			broken = append(broken, row.Key)
 			continue
 		}
-		it := &item{rate: 1, wantRate: 1}
+		it := &item{rate: 1, targetRate: 1}
 		c.items[record.Name()] = it
-		c.adopt(now, it, record, row.Version)
-		c.act(now, it)
+		c.applyRecord(now, it, record, row.Version)
+		c.reconcile(now, it)
 	}
 	return broken
 }
 
-// Step returns what there is to do at now.
+// Step advances the controller to now and returns the actions to execute.
 func (c *Controller) Step(now time.Time) []Action {
-	if !c.deposed {
+	if !c.superseded {
 		c.runTimers(now)
 		c.schedule(now)
-		c.restore(now)
+		c.restoreThrottled(now)
 		c.poll(now)
 		c.flush(now)
 	}
@@ -228,13 +237,13 @@
 	return actions
 }
 
-// Deposed reports whether another manager has taken the shard over. Every
-// request that was open has then been answered, and Step does nothing more.
-func (c *Controller) Deposed() bool {
-	return c.deposed
+// Superseded reports whether another manager has taken the shard over. By then
+// every open request has been answered, and Step has no further effect.
+func (c *Controller) Superseded() bool {
+	return c.superseded
 }
 
-// Task returns a task's record as known to be in the table.
+// Task returns the record of a task that is known to be in the table.
 func (c *Controller) Task(queue, id string) (Record, bool) {
 	it, ok := c.items[queue+"/"+id]
 	if !ok || it.version == table.Absent {
@@ -243,12 +252,13 @@
 	return it.record, true
 }
 
-// depose ends this controller's say over the shard.
-func (c *Controller) depose() {
-	if c.deposed {
+// supersede stops the controller: it drops the queued actions other than replies
+// and answers all open requests.
+func (c *Controller) supersede() {
+	if c.superseded {
 		return
 	}
-	c.deposed = true
+	c.superseded = true
 	c.actions = slices.DeleteFunc(c.actions, func(action Action) bool {
 		_, isReply := action.(Reply)
 		return !isReply
@@ -258,18 +268,18 @@
 	}
 }
 
-// emit queues an action for the end of the step.
+// emit queues an action to be returned by Step.
 func (c *Controller) emit(action Action) {
 	c.actions = append(c.actions, action)
 }
 
-// timer is a time at which to look at an item again.
+// timer is the time at which an item is to be reconciled again.
 type timer struct {
 	at   time.Time
 	name string
 }
 
-// timerHeap orders timers by time.
+// timerHeap is a min-heap of timers by time.
 type timerHeap []timer
 
 // Len implements heap.Interface.
@@ -297,7 +307,8 @@
 	return popped
 }
 
-// wake looks at the item again at that time, or earlier if that is due before.
+// wake schedules a reconciliation of the item at that time, unless an earlier one
+// is already scheduled.
 func (c *Controller) wake(it *item, at time.Time) {
 	if !it.wakeAt.IsZero() && !it.wakeAt.After(at) {
 		return
@@ -306,7 +317,7 @@
 	heap.Push(&c.timers, timer{at: at, name: it.current().Name()})
 }
 
-// runTimers looks at the items whose time has come.
+// runTimers reconciles the items whose timers are due.
 func (c *Controller) runTimers(now time.Time) {
 	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
 		due := heap.Pop(&c.timers).(timer)
@@ -315,6 +326,6 @@
 			continue
 		}
 		it.wakeAt = time.Time{}
-		c.act(now, it)
+		c.reconcile(now, it)
 	}
 }
--- a/internal/task/controller_test.go
+++ b/internal/task/controller_test.go
@@ -10,25 +10,25 @@
 	"github.com/lovagedyke/lovagedyke/internal/task"
 )
 
-// calm chooses no faults and delivers all messages.
-type calm struct{}
+// noFaults is a chooser that injects no faults and delivers all messages.
+type noFaults struct{}
 
-func (calm) intN(_ string, n int) int { return n - 1 }
+func (noFaults) intN(_ string, n int) int { return n - 1 }
 
-// settle steps the present manager until it wants nothing done, and returns the
-// replies and the number of transactions.
-func (w *world) settle(wait time.Duration, rounds int) (replies []task.Reply, commits int) {
-	m := w.current()
+// runSteps steps the current manager a number of rounds, executes its actions, and
+// returns the replies and the number of transactions.
+func (sim *simulation) runSteps(wait time.Duration, rounds int) (replies []task.Reply, commits int) {
+	m := sim.current()
 	for range rounds {
-		w.now = w.now.Add(wait)
-		for _, action := range m.controller.Step(w.now) {
+		sim.now = sim.now.Add(wait)
+		for _, action := range m.controller.Step(sim.now) {
 			switch action := action.(type) {
 			case task.Reply:
 				replies = append(replies, action)
 			case task.Commit:
 				commits++
 			}
-			w.carryOut(m, action)
+			sim.execute(m, action)
 		}
 	}
 	return replies, commits
@@ -43,7 +43,7 @@
 	large.Body = []byte(strings.Repeat("x", 5000))
 	tests := map[string]struct {
 		spec       task.Spec
-		prepare    func(*world)
+		prepare    func(*simulation)
 		want       task.Outcome
 		wantReason string
 		wantRetry  bool
@@ -51,40 +51,40 @@
 		"taken":          {spec: spec("a", place.Normal, 1), want: task.Accepted},
 		"fits no worker": {spec: spec("a", place.Normal, 5), want: task.Refused, wantReason: task.ReasonFitsNoWorker},
 		"large body":     {spec: large, want: task.Refused, wantReason: task.ReasonBodyTooLarge},
-		"repeated": {spec: spec("a", place.Normal, 1), want: task.Exists, prepare: func(w *world) {
-			w.submitSpec(spec("a", place.Normal, 1))
+		"repeated": {spec: spec("a", place.Normal, 1), want: task.Exists, prepare: func(sim *simulation) {
+			sim.submitSpec(spec("a", place.Normal, 1))
 		}},
 		"id reused": {
 			spec: spec("a", place.Normal, 1), want: task.Refused, wantReason: task.ReasonOtherSpec,
-			prepare: func(w *world) { w.submitSpec(spec("a", place.Normal, 2)) },
+			prepare: func(sim *simulation) { sim.submitSpec(spec("a", place.Normal, 2)) },
 		},
 		"queue full": {
 			spec: spec("a", place.Normal, 1), want: task.Refused, wantReason: task.ReasonQueueFull, wantRetry: true,
-			prepare: func(w *world) {
-				w.current().controller.SetLimits(map[task.LaneKey]task.Limit{{Queue: queue, Team: "reef"}: {MaxOpen: 1}})
-				w.submitSpec(spec("b", place.Normal, 1))
+			prepare: func(sim *simulation) {
+				sim.current().controller.SetLimits(map[task.TeamQueue]task.Limit{{Queue: queue, Team: "reef"}: {MaxOpen: 1}})
+				sim.submitSpec(spec("b", place.Normal, 1))
 			},
 		},
 		"table down": {
 			spec: spec("a", place.Normal, 1), want: task.Refused, wantReason: task.ReasonTableUnavailable, wantRetry: true,
-			prepare: func(w *world) { w.down = true },
+			prepare: func(sim *simulation) { sim.down = true },
 		},
 		"manager moved": {
 			spec: spec("a", place.Normal, 1), want: task.Unknown, wantReason: task.ReasonManagerMoved, wantRetry: true,
-			prepare: func(w *world) { w.takeOver(); w.managers = w.managers[:1] },
+			prepare: func(sim *simulation) { sim.takeOver(); sim.managers = sim.managers[:1] },
 		},
 		"no workers": {
 			spec: spec("a", place.Normal, 1), want: task.Refused, wantReason: task.ReasonNoWorkers, wantRetry: true,
-			prepare: func(w *world) { w.nodes = nil; w.takeOver() },
+			prepare: func(sim *simulation) { sim.workers = nil; sim.takeOver() },
 		},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(calm{}, mutantNone)
+			sim := newSimulation(noFaults{}, mutantNone)
 			if tc.prepare != nil {
-				tc.prepare(w)
+				tc.prepare(sim)
 			}
-			replies := w.submitSpec(tc.spec)
+			replies := sim.submitSpec(tc.spec)
 			if len(replies) != 1 {
 				t.Fatalf("replies: got %+v, want one", replies)
 			}
@@ -102,24 +102,25 @@
 }
 
 // submitSpec submits one task and returns the replies.
-func (w *world) submitSpec(spec task.Spec) []task.Reply {
-	w.request++
-	w.specs = append(w.specs, spec)
-	w.current().controller.Submit(w.now, w.request, spec)
-	replies, _ := w.settle(50*time.Millisecond, 20)
+func (sim *simulation) submitSpec(spec task.Spec) []task.Reply {
+	sim.request++
+	sim.specs = append(sim.specs, spec)
+	sim.current().controller.Submit(sim.now, sim.request, spec)
+	replies, _ := sim.runSteps(50*time.Millisecond, 20)
 	return replies
 }
 
-// TestCancelWave cancels a backlog and wants few transactions and true answers.
-func TestCancelWave(t *testing.T) {
+// TestCancelBacklog checks that cancelling a backlog takes few transactions, that
+// each cancellation is answered, and that only running tasks are recorded as run.
+func TestCancelBacklog(t *testing.T) {
 	const tasks = 1000
-	w := newWorld(calm{}, mutantNone)
+	sim := newSimulation(noFaults{}, mutantNone)
 	for i := range tasks {
 		s := spec(fmt.Sprintf("task-%04d", i), place.Batch, 1)
-		w.specs = append(w.specs, s)
-		w.current().controller.Submit(w.now, uint64(i), s)
+		sim.specs = append(sim.specs, s)
+		sim.current().controller.Submit(sim.now, uint64(i), s)
 	}
-	replies, commits := w.settle(20*time.Millisecond, 200)
+	replies, commits := sim.runSteps(20*time.Millisecond, 200)
 	if got, want := len(replies), tasks; got != want {
 		t.Fatalf("submissions answered: got %d, want %d", got, want)
 	}
@@ -127,9 +128,9 @@
 		t.Errorf("transactions to submit: got %d, want at most %d", got, want)
 	}
 	for i := range tasks {
-		w.current().controller.Cancel(w.now, uint64(tasks+i), queue, fmt.Sprintf("task-%04d", i))
+		sim.current().controller.Cancel(sim.now, uint64(tasks+i), queue, fmt.Sprintf("task-%04d", i))
 	}
-	replies, commits = w.settle(20*time.Millisecond, 200)
+	replies, commits = sim.runSteps(20*time.Millisecond, 200)
 	if got, want := len(replies), tasks; got != want {
 		t.Errorf("cancellations answered: got %d, want %d", got, want)
 	}
@@ -137,7 +138,7 @@
 		t.Errorf("transactions to cancel: got %d, want at most %d", got, want)
 	}
 	ran := 0
-	for _, record := range w.records() {
+	for _, record := range sim.records() {
 		if got, want := record.State, task.Cancelled; got != want {
 			t.Fatalf("task %s: got %s, want %s", record.ID, got, want)
 		}
@@ -145,13 +146,13 @@
 			ran++
 		}
 	}
-	if got, want := ran, laneLimit; got != want {
+	if got, want := ran, teamLimit; got != want {
 		t.Errorf("tasks that ran: got %d, want %d", got, want)
 	}
 }
 
-// TestUrgentStartsSoon fills the pool with tasks of lower classes and wants
-// urgent work to start in time, also where only a checkpoint makes room.
+// TestUrgentStartsSoon checks that an urgent task starts in time on a pool full of
+// batch tasks, also where only checkpointing one of them frees capacity.
 func TestUrgentStartsSoon(t *testing.T) {
 	const (
 		limit = 2100 * time.Millisecond
@@ -163,33 +164,34 @@
 	}
 	for name, size := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(calm{}, mutantNone)
-			w.current().controller.SetLimits(nil)
+			sim := newSimulation(noFaults{}, mutantNone)
+			sim.current().controller.SetLimits(nil)
 			for i := range 8 {
 				s := spec(fmt.Sprintf("batch-%d", i), place.Batch, 4)
 				s.Size = size
-				w.submitSpec(s)
+				sim.submitSpec(s)
 			}
 			urgent := spec("urgent", place.Urgent, 4)
 			urgent.Size = size
-			w.specs = append(w.specs, urgent)
-			began := w.now
-			w.current().controller.Submit(w.now, 99, urgent)
-			for w.runs["urgent"] == 0 && w.now.Sub(began) < limit {
-				w.settle(tick, 1)
+			sim.specs = append(sim.specs, urgent)
+			submitted := sim.now
+			sim.current().controller.Submit(sim.now, 99, urgent)
+			for sim.runs["urgent"] == 0 && sim.now.Sub(submitted) < limit {
+				sim.runSteps(tick, 1)
 			}
-			if w.runs["urgent"] == 0 {
+			if sim.runs["urgent"] == 0 {
 				t.Errorf("start: got none after %s, want one", limit)
 			}
-			t.Logf("started after %s in steps of %s", w.now.Sub(began), tick)
+			t.Logf("started after %s in steps of %s", sim.now.Sub(submitted), tick)
 		})
 	}
 }
 
-// TestLanesShare wants two teams of one queue to run by their weights.
-func TestLanesShare(t *testing.T) {
-	w := newWorld(calm{}, mutantNone)
-	w.current().controller.SetLimits(map[task.LaneKey]task.Limit{
+// TestTeamsShareByWeight checks that two teams of one queue run tasks in
+// proportion to their weights.
+func TestTeamsShareByWeight(t *testing.T) {
+	sim := newSimulation(noFaults{}, mutantNone)
+	sim.current().controller.SetLimits(map[task.TeamQueue]task.Limit{
 		{Queue: queue, Team: "reef"}: {Weight: 3},
 		{Queue: queue, Team: "tide"}: {Weight: 1},
 	})
@@ -197,18 +199,19 @@
 		for _, team := range []string{"reef", "tide"} {
 			s := spec(fmt.Sprintf("%s-%d", team, i), place.Normal, 1)
 			s.Team = team
-			w.specs = append(w.specs, s)
-			w.current().controller.Submit(w.now, 0, s)
+			sim.specs = append(sim.specs, s)
+			sim.current().controller.Submit(sim.now, 0, s)
 		}
 	}
-	w.settle(50*time.Millisecond, 60)
+	sim.runSteps(50*time.Millisecond, 60)
 	running := map[string]int{}
-	for _, record := range w.records() {
+	for _, record := range sim.records() {
 		if record.State == task.Running {
 			running[record.Team]++
 		}
 	}
-	// 16 processors in all; the world's own limit of three is not this test's.
+	// The 4 workers have 16 CPUs in all. The simulation's limit of three tasks was
+	// replaced above.
 	if got, want := running["reef"], 12; got != want {
 		t.Errorf("reef runs: got %d, want %d", got, want)
 	}
@@ -217,22 +220,22 @@
 	}
 }
 
-// TestLargeResult wants a large result in the object store before its task is
-// done, also when the store refuses at first.
+// TestLargeResult checks that a large result is in the object store before its
+// task is done, also if the first write to the store fails.
 func TestLargeResult(t *testing.T) {
-	w := newWorld(calm{}, mutantNone)
-	w.submitSpec(spec("a", place.Normal, 1))
-	record, ok := w.current().controller.Task(queue, "a")
+	sim := newSimulation(noFaults{}, mutantNone)
+	sim.submitSpec(spec("a", place.Normal, 1))
+	record, ok := sim.current().controller.Task(queue, "a")
 	if got, want := record.State, task.Running; !ok || got != want {
 		t.Fatalf("state: got %s, want %s", got, want)
 	}
 	call := task.Call{Worker: record.Attempt.Worker, StartID: record.StartID()}
 	answer := task.Answer{Kind: task.AnswerDone, Incarnation: record.Attempt.Incarnation, Result: make([]byte, 5000)}
-	controller := w.current().controller
+	controller := sim.current().controller
 	for _, stored := range []bool{false, true} {
-		controller.Called(w.now, call, answer)
+		controller.HandleCallResult(sim.now, call, answer)
 		var store *task.Store
-		for _, action := range controller.Step(w.now) {
+		for _, action := range controller.Step(sim.now) {
 			if found, ok := action.(task.Store); ok {
 				store = &found
 			}
@@ -240,9 +243,9 @@
 		if store == nil {
 			t.Fatal("store: got none, want one")
 		}
-		controller.Stored(w.now, *store, stored)
+		controller.HandleStoreResult(sim.now, *store, stored)
 	}
-	w.settle(50*time.Millisecond, 20)
+	sim.runSteps(50*time.Millisecond, 20)
 	record, _ = controller.Task(queue, "a")
 	if got, want := record.State, task.Done; got != want {
 		t.Errorf("state: got %s, want %s", got, want)
@@ -252,51 +255,53 @@
 	}
 }
 
-// TestRetention removes the row of an ended task once its time is over.
+// TestRetention checks that the row of an ended task is removed after the
+// retention period.
 func TestRetention(t *testing.T) {
-	w := newWorld(calm{}, mutantNone)
-	w.submitSpec(spec("a", place.Normal, 1))
-	w.current().controller.Cancel(w.now, 1, queue, "a")
-	w.settle(50*time.Millisecond, 40)
-	if got, want := len(w.records()), 1; got != want {
+	sim := newSimulation(noFaults{}, mutantNone)
+	sim.submitSpec(spec("a", place.Normal, 1))
+	sim.current().controller.Cancel(sim.now, 1, queue, "a")
+	sim.runSteps(50*time.Millisecond, 40)
+	if got, want := len(sim.records()), 1; got != want {
 		t.Fatalf("rows: got %d, want %d", got, want)
 	}
-	w.settle(600*time.Hour, 4)
-	w.settle(50*time.Millisecond, 20)
-	if got, want := len(w.records()), 0; got != want {
-		t.Errorf("rows after their time: got %d, want %d", got, want)
+	sim.runSteps(600*time.Hour, 4)
+	sim.runSteps(50*time.Millisecond, 20)
+	if got, want := len(sim.records()), 0; got != want {
+		t.Errorf("rows after the retention period: got %d, want %d", got, want)
 	}
-	if _, ok := w.current().controller.Task(queue, "a"); ok {
-		t.Error("task: got one after its time, want none")
+	if _, ok := sim.current().controller.Task(queue, "a"); ok {
+		t.Error("task: got one after the retention period, want none")
 	}
 }
 
-// A lane whose tasks all run is in the dump: permits are counted from it.
-func TestDumpShowsLanesThatOnlyRun(t *testing.T) {
-	w := newWorld(calm{}, mutantNone)
-	w.current().controller.SetLimits(nil)
+// TestDumpListsTeamQueuesWithoutWaitingTasks checks that the dump lists a team
+// queue whose tasks are all running, since permits are counted from the dump.
+func TestDumpListsTeamQueuesWithoutWaitingTasks(t *testing.T) {
+	sim := newSimulation(noFaults{}, mutantNone)
+	sim.current().controller.SetLimits(nil)
 	const tasks = 5
 	for i := range tasks {
 		s := spec(fmt.Sprintf("reef-%d", i), place.Normal, 1)
 		s.Team = "reef"
-		w.specs = append(w.specs, s)
-		w.current().controller.Submit(w.now, 0, s)
+		sim.specs = append(sim.specs, s)
+		sim.current().controller.Submit(sim.now, 0, s)
 	}
-	w.settle(50*time.Millisecond, 60)
+	sim.runSteps(50*time.Millisecond, 60)
 	want := 0
-	for _, record := range w.records() {
+	for _, record := range sim.records() {
 		if record.State == task.Running {
 			want++
 		}
 	}
 	if want != tasks {
-		t.Fatalf("tasks that run: got %d, want %d", want, tasks)
+		t.Fatalf("running tasks: got %d, want %d", want, tasks)
 	}
 	got := 0
-	for _, lane := range w.current().controller.Dump().Lanes {
-		got += lane.Running
+	for _, teamQueue := range sim.current().controller.Dump().TeamQueues {
+		got += teamQueue.Running
 	}
 	if got != want {
-		t.Errorf("running in the dump's lanes: got %d, want %d", got, want)
+		t.Errorf("running tasks in the dump's team queues: got %d, want %d", got, want)
 	}
 }
--- a/internal/task/dump.go
+++ b/internal/task/dump.go
@@ -8,7 +8,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/place"
 )
 
-// Summary is an open task as the dump shows it, without its body.
+// Summary is the dump's entry for an open task, without the body.
 type Summary struct {
 	Task     string    `json:"task"`
 	Team     string    `json:"team"`
@@ -21,40 +21,40 @@
 	LostAt   time.Time `json:"lost-at,omitzero"`
 }
 
-// LaneState is one team's part of a queue as the dump shows it.
-type LaneState struct {
-	LaneKey
+// TeamQueueState is the dump's entry for a team queue.
+type TeamQueueState struct {
+	TeamQueue
 	Class   place.Class `json:"class"`
 	Waiting int         `json:"waiting"`
 	Running int         `json:"running"`
 }
 
-// Dump is the controller's whole state, in a stable order.
+// Dump is a snapshot of the controller's state, in a stable order.
 type Dump struct {
-	Shard     string      `json:"shard"`
-	Epoch     uint64      `json:"epoch"`
-	Deposed   bool        `json:"deposed"`
-	Unsettled int         `json:"unsettled-rows"`
-	Unwritten int         `json:"unwritten-rows"`
-	Lanes     []LaneState `json:"lanes"`
-	Tasks     []Summary   `json:"tasks"`
+	Shard            string           `json:"shard"`
+	Epoch            uint64           `json:"epoch"`
+	Superseded       bool             `json:"deposed"`
+	UnresolvedWrites int              `json:"unsettled-rows"`
+	PendingWrites    int              `json:"unwritten-rows"`
+	TeamQueues       []TeamQueueState `json:"lanes"`
+	Tasks            []Summary        `json:"tasks"`
 }
 
-// Dump returns the state; ended tasks are left out.
+// Dump returns a snapshot of the state, without ended tasks.
 func (c *Controller) Dump() Dump {
-	dump := Dump{Shard: c.cfg.Shard, Epoch: c.cfg.Epoch, Deposed: c.deposed, Lanes: []LaneState{}, Tasks: []Summary{}}
+	dump := Dump{Shard: c.cfg.Shard, Epoch: c.cfg.Epoch, Superseded: c.superseded, TeamQueues: []TeamQueueState{}, Tasks: []Summary{}}
 	if c.batch != nil {
-		dump.Unsettled = len(c.batch.items)
+		dump.UnresolvedWrites = len(c.batch.items)
 	}
 	for rank, class := range place.Classes() {
-		dump.Unwritten += len(c.dirty[rank])
-		for _, key := range c.lanes[class].keys {
-			dump.Lanes = append(dump.Lanes, LaneState{
-				LaneKey: key, Class: class, Waiting: c.lanes[class].len(key), Running: c.running[key],
+		dump.PendingWrites += len(c.dirty[rank])
+		for _, key := range c.waitingByClass[class].keys {
+			dump.TeamQueues = append(dump.TeamQueues, TeamQueueState{
+				TeamQueue: key, Class: class, Waiting: c.waitingByClass[class].len(key), Running: c.running[key],
 			})
 		}
 	}
-	dump.Lanes = append(dump.Lanes, c.runningLanes(dump.Lanes)...)
+	dump.TeamQueues = append(dump.TeamQueues, c.runningTeamQueues(dump.TeamQueues)...)
 	for _, name := range sortedNames(c.items) {
 		it := c.items[name]
 		if it.record.State.Final() {
@@ -68,25 +68,25 @@
 			Once:     it.record.Once,
 			Attempt:  it.record.Attempt,
 			Failures: it.record.Failures,
-			Unsaved:  it.next != nil,
+			Unsaved:  it.pending != nil,
 			LostAt:   it.lostAt,
 		})
 	}
 	return dump
 }
 
-// runningLanes returns the lanes in which tasks run and none waits, which the
-// waiting lanes leave out.
-func (c *Controller) runningLanes(listed []LaneState) []LaneState {
-	known := make(map[LaneKey]bool, len(listed))
-	for _, lane := range listed {
-		known[lane.LaneKey] = true
+// runningTeamQueues returns the team queues that have running tasks and are not
+// listed yet because no task waits in them.
+func (c *Controller) runningTeamQueues(listed []TeamQueueState) []TeamQueueState {
+	known := make(map[TeamQueue]bool, len(listed))
+	for _, listedQueue := range listed {
+		known[listedQueue.TeamQueue] = true
 	}
-	var lanes []LaneState
-	for _, key := range slices.SortedFunc(maps.Keys(c.running), compareLanes) {
+	var queues []TeamQueueState
+	for _, key := range slices.SortedFunc(maps.Keys(c.running), compareTeamQueues) {
 		if !known[key] {
-			lanes = append(lanes, LaneState{LaneKey: key, Running: c.running[key]})
+			queues = append(queues, TeamQueueState{TeamQueue: key, Running: c.running[key]})
 		}
 	}
-	return lanes
+	return queues
 }
--- a/internal/task/fuzz_test.go
+++ b/internal/task/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/task"
 )
 
-// A record that decodes can be written and read again, and a controller loads
-// it and steps without breaking an invariant.
+// FuzzDecode checks that a decoded record survives encoding and decoding, and that
+// a controller can load any row and step without a panic.
 func FuzzDecode(f *testing.F) {
 	for _, value := range []string{
 		``, `{}`, `null`, `{"id":"a","queue":"plans","state":"waiting"}`,
@@ -44,13 +44,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := task.Decode(table.Row{Value: encoded})
+		decoded, err := task.Decode(table.Row{Value: encoded})
 		if err != nil {
 			t.Fatal(err)
 		}
-		twice, err := json.Marshal(again)
-		if err != nil || !reflect.DeepEqual(twice, encoded) {
-			t.Errorf("got %s, %v, want %s", twice, err, encoded)
+		reencoded, err := json.Marshal(decoded)
+		if err != nil || !reflect.DeepEqual(reencoded, encoded) {
+			t.Errorf("got %s, %v, want %s", reencoded, err, encoded)
 		}
 	})
 }
--- a/internal/task/record.go
+++ b/internal/task/record.go
@@ -13,7 +13,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// State is a task's place in its life.
+// State is a task's lifecycle state.
 type State string
 
 // States of a task. The last four are final.
@@ -27,7 +27,7 @@
 	GivenUp   State = "given-up"
 )
 
-// Final reports whether the task's life has ended.
+// Final reports whether the task has ended.
 func (s State) Final() bool {
 	switch s {
 	case Done, Failed, Cancelled, GivenUp:
@@ -36,7 +36,7 @@
 	return false
 }
 
-// Ran says whether any attempt at a task took place.
+// Ran tells whether any attempt of a task was started.
 type Ran string
 
 // Values of Ran.
@@ -46,7 +46,7 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Reasons of final states and of refusals.
+// Reasons for final states and refusals.
 const (
 	ReasonCancelled        = "cancelled"
 	ReasonOutcomeUnknown   = "outcome-unknown"
@@ -80,44 +80,44 @@
 	BodyObject string `json:"body-object,omitempty"`
 }
 
-// digest is equal for equal specs.
+// digest returns a hash of the spec.
 func (s Spec) digest() uint64 {
 	return xxhash.Sum64(encode(s))
 }
 
-// Attempt is one start of a task on one process of a worker.
+// Attempt is one execution of a task on one process of a worker.
 type Attempt struct {
 	Number      int       `json:"number"`
 	Worker      string    `json:"worker"`
 	Incarnation string    `json:"incarnation"`
 	Epoch       uint64    `json:"epoch"`
-	At          time.Time `json:"at"`
+	PlacedAt    time.Time `json:"at"`
 }
 
-// Failure is an attempt that did not end well.
+// Failure is a failed attempt.
 type Failure struct {
 	Worker string `json:"worker"`
 	Reason string `json:"reason"`
 }
 
-// Stamp tells one write of a row from every other.
+// Stamp uniquely identifies a write of a task's row.
 type Stamp struct {
 	Epoch uint64 `json:"epoch"`
 	Write uint64 `json:"write"`
 }
 
-// Record is a task's row.
+// Record is the value of a task's row.
 type Record struct {
 	Spec
 	Submitted time.Time `json:"submitted"`
 	State     State     `json:"state"`
-	// Cancel is set once a cancellation was accepted.
+	// Cancel is set once a cancellation has been accepted.
 	Cancel   bool      `json:"cancel,omitempty"`
 	Ran      Ran       `json:"ran"`
 	Attempts int       `json:"attempts"`
 	Attempt  *Attempt  `json:"attempt,omitempty"`
 	Failures []Failure `json:"failures,omitempty"`
-	// Checkpoint is what the next attempt resumes from.
+	// Checkpoint is the state that the next attempt resumes from.
 	Checkpoint   []byte    `json:"checkpoint,omitempty"`
 	Result       []byte    `json:"result,omitempty"`
 	ResultObject string    `json:"result-object,omitempty"`
@@ -126,7 +126,8 @@
 	Stamp        Stamp     `json:"stamp"`
 }
 
-// StartID is the id under which the attempt is started at its worker.
+// StartID returns the ID of the attempt's start request, or "" without an
+// attempt.
 func (r Record) StartID() string {
 	if r.Attempt == nil {
 		return ""
@@ -134,23 +135,23 @@
 	return r.Name() + "." + strconv.Itoa(r.Attempt.Number)
 }
 
-// Name is the task's name among all queues.
+// Name returns the task's name, which is unique across queues.
 func (r Record) Name() string {
 	return r.Queue + "/" + r.ID
 }
 
-// Prefix is the key prefix of a queue's rows.
+// Prefix returns the key prefix of a queue's rows.
 func Prefix(queue string) string {
 	return "task/" + queue + "/"
 }
 
-// Key is the key of a task's row.
+// Key returns the key of a task's row.
 func Key(queue, id string) string {
 	return Prefix(queue) + id
 }
 
-// Decode reads a task's row. It refuses a state that is unknown, or that needs
-// an attempt and has none.
+// Decode decodes a task's row. It fails if the state is unknown, or if it requires
+// an attempt and the record has none.
 func Decode(row table.Row) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(row.Value, &record); err != nil {
@@ -158,12 +159,12 @@
 	}
 	placed := record.State == Placed || record.State == Running
 	if placed && record.Attempt == nil || !placed && record.State != Submitted && !record.State.Final() {
-		return Record{}, errors.Newf("row %q holds a task in state %q without what that state needs", row.Key, record.State)
+		return Record{}, errors.Newf("row %q holds a task in state %q, which is unknown or lacks its attempt", row.Key, record.State)
 	}
 	return record, nil
 }
 
-// encode writes a value whose types cannot fail to encode.
+// encode returns the JSON encoding of a value whose type always encodes.
 func encode(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -98,7 +98,7 @@
 
 	mu     sync.Mutex
 	reign  *reign
-	limits map[task.LaneKey]task.Limit
+	limits map[task.TeamQueue]task.Limit
 	// leaving are the workers that must get nothing new.
 	leaving map[string]bool
 }
@@ -115,7 +115,7 @@
 		cfg.Tick = defaultTick
 	}
 	return &Runner{cfg: cfg, election: task.NewElection(task.ElectionConfig{
-		Shard: cfg.Shard, Holder: cfg.Holder, Patience: cfg.Patience,
+		Shard: cfg.Shard, Holder: cfg.Holder, HeartbeatTimeout: cfg.Patience,
 	})}
 }
 
@@ -148,7 +148,7 @@
 func (r *Runner) campaign(ctx context.Context) (table.Condition, uint64, bool) {
 	rows, err := r.cfg.Store.Get(ctx, r.election.Keys()...)
 	if err != nil {
-		r.election.Unseen()
+		r.election.ResetHeartbeat()
 		return table.Condition{}, 0, false
 	}
 	txn, claims := r.election.Observe(time.Now(), rows)
@@ -203,7 +203,7 @@
 // heartbeat that fails otherwise is followed by the next.
 func (r *Runner) beat(ctx context.Context, fence table.Condition) {
 	for ctx.Err() == nil {
-		err := r.cfg.Store.Commit(ctx, r.election.Beat(fence, false))
+		err := r.cfg.Store.Commit(ctx, r.election.Heartbeat(fence, false))
 		if table.IsConflict(err) {
 			return
 		}
@@ -218,7 +218,7 @@
 // patience.
 func (r *Runner) release(ctx context.Context, fence table.Condition) {
 	ctx = context.WithoutCancel(ctx)
-	_ = r.cfg.Store.Commit(ctx, r.election.Beat(fence, true))
+	_ = r.cfg.Store.Commit(ctx, r.election.Heartbeat(fence, true))
 }
 
 // current returns the present reign.
@@ -259,7 +259,7 @@
 	if err != nil {
 		return task.Claim{}, err
 	}
-	return r.election.Current(rows), nil
+	return r.election.CurrentClaim(rows), nil
 }
 
 // Task returns a task's row, whoever manages the shard.
@@ -273,7 +273,7 @@
 }
 
 // SetLimits replaces the limits of this and later reigns.
-func (r *Runner) SetLimits(limits map[task.LaneKey]task.Limit) {
+func (r *Runner) SetLimits(limits map[task.TeamQueue]task.Limit) {
 	r.mu.Lock()
 	r.limits = maps.Clone(limits)
 	current := r.reign
@@ -321,7 +321,7 @@
 func (r *Runner) Dump() Dump {
 	current, err := r.current()
 	if err != nil {
-		return Dump{Dump: task.Dump{Shard: r.cfg.Shard, Deposed: true}}
+		return Dump{Dump: task.Dump{Shard: r.cfg.Shard, Superseded: true}}
 	}
 	return current.dump()
 }
--- a/internal/task/schedule.go
+++ b/internal/task/schedule.go
@@ -9,139 +9,141 @@
 )
 
 const (
-	// scheduleEvery is the least time between looks at a backlog that could not
-	// be placed, unless room was freed.
-	scheduleEvery = 100 * time.Millisecond
-	// lookAhead is how many tasks of a lane may overtake one that finds no room.
-	lookAhead = 8
-	// exhaustedRetry is the wait before a task goes back to a worker it failed on.
-	exhaustedRetry = 5 * time.Second
+	// scheduleInterval is the minimum time between attempts to place the backlog,
+	// unless capacity was released.
+	scheduleInterval = 100 * time.Millisecond
+	// maxLookAhead is how many tasks at the head of a team queue are tried, so that
+	// one that fits nowhere doesn't block those behind it.
+	maxLookAhead = 8
+	// exhaustedRetryDelay is the delay before a task that has failed on all fitting
+	// workers may return to one of them.
+	exhaustedRetryDelay = 5 * time.Second
 )
 
-// LaneKey names one team's tasks of one queue.
-type LaneKey struct {
+// TeamQueue identifies one team's tasks in one queue.
+type TeamQueue struct {
 	Queue string `json:"queue"`
 	Team  string `json:"team"`
 }
 
-// Limit bounds a lane; zero values mean no bound on Running, 10,000 open tasks
-// and a weight of 1.
+// Limit bounds a team queue. Zero values mean no limit on running tasks, 10,000
+// open tasks and a weight of 1.
 type Limit struct {
-	// Running is the greatest number of tasks that are placed or running.
-	Running int
-	// Closed lets no further task start, whatever Running says.
+	// MaxRunning is the maximum number of tasks that are placed or running.
+	MaxRunning int
+	// Closed prevents further starts, regardless of MaxRunning.
 	Closed  bool
 	MaxOpen int
-	// Weight is the lane's share when tasks compete.
+	// Weight is the team queue's relative share when tasks compete.
 	Weight float64
 }
 
-// SetLimits replaces the limits in force. Lowering one cuts nothing that runs.
-func (c *Controller) SetLimits(limits map[LaneKey]Limit) {
+// SetLimits replaces the limits. Lowering a limit doesn't stop running tasks.
+func (c *Controller) SetLimits(limits map[TeamQueue]Limit) {
 	c.limits = limits
-	c.scheduleAt = time.Time{}
+	c.nextScheduleAt = time.Time{}
 }
 
-// limit returns a lane's limit with its defaults.
-func (c *Controller) limit(key LaneKey) Limit {
+// limit returns a team queue's limit with defaults applied.
+func (c *Controller) limit(key TeamQueue) Limit {
 	limit := c.limits[key]
 	limit.MaxOpen = orDefault(limit.MaxOpen, defaultMaxOpen)
 	limit.Weight = orDefault(limit.Weight, 1)
 	return limit
 }
 
-// laneKey is the lane of a record.
-func laneKey(record Record) LaneKey {
-	return LaneKey{Queue: record.Queue, Team: record.Team}
+// teamQueueOf returns the team queue of a record.
+func teamQueueOf(record Record) TeamQueue {
+	return TeamQueue{Queue: record.Queue, Team: record.Team}
 }
 
-// laneSet holds the waiting tasks of one class by lane.
-type laneSet struct {
-	lanes map[LaneKey][]*item
-	keys  []LaneKey
+// waitingTasks holds the waiting tasks of one class by team queue.
+type waitingTasks struct {
+	queues map[TeamQueue][]*item
+	keys   []TeamQueue
 }
 
-// newLaneSet returns an empty set.
-func newLaneSet() *laneSet {
-	return &laneSet{lanes: make(map[LaneKey][]*item)}
+// newWaitingTasks returns an empty set of team queues.
+func newWaitingTasks() *waitingTasks {
+	return &waitingTasks{queues: make(map[TeamQueue][]*item)}
 }
 
-// add appends an item to its lane.
-func (s *laneSet) add(key LaneKey, it *item) {
-	if _, known := s.lanes[key]; !known {
-		at, _ := slices.BinarySearchFunc(s.keys, key, compareLanes)
+// add appends an item to its team queue.
+func (s *waitingTasks) add(key TeamQueue, it *item) {
+	if _, known := s.queues[key]; !known {
+		at, _ := slices.BinarySearchFunc(s.keys, key, compareTeamQueues)
 		s.keys = slices.Insert(s.keys, at, key)
 	}
-	s.lanes[key] = append(s.lanes[key], it)
+	s.queues[key] = append(s.queues[key], it)
 }
 
-// len is the number of tasks in a lane.
-func (s *laneSet) len(key LaneKey) int {
-	return len(s.lanes[key])
+// len returns the number of tasks in a team queue.
+func (s *waitingTasks) len(key TeamQueue) int {
+	return len(s.queues[key])
 }
 
-// head returns the next items of a lane, all of which wait. It drops those that
-// wait no more, and the lane if it is empty.
-func (s *laneSet) head(key LaneKey) []*item {
-	lane := s.lanes[key]
-	for len(lane) > 0 && lane[0].left() {
-		lane = lane[1:]
+// head returns up to maxLookAhead waiting items from the front of a team queue.
+// It removes items that no longer wait, and the team queue if it becomes empty.
+func (s *waitingTasks) head(key TeamQueue) []*item {
+	queue := s.queues[key]
+	for len(queue) > 0 && queue[0].notWaiting() {
+		queue = queue[1:]
 	}
-	s.lanes[key] = lane
-	if slices.ContainsFunc(lane[:min(len(lane), lookAhead)], (*item).left) {
-		lane = slices.DeleteFunc(lane, (*item).left)
-		s.lanes[key] = lane
+	s.queues[key] = queue
+	if slices.ContainsFunc(queue[:min(len(queue), maxLookAhead)], (*item).notWaiting) {
+		queue = slices.DeleteFunc(queue, (*item).notWaiting)
+		s.queues[key] = queue
 	}
-	if len(lane) > 0 {
-		return slices.Clone(lane[:min(len(lane), lookAhead)])
+	if len(queue) > 0 {
+		return slices.Clone(queue[:min(len(queue), maxLookAhead)])
 	}
-	delete(s.lanes, key)
-	at, found := slices.BinarySearchFunc(s.keys, key, compareLanes)
+	delete(s.queues, key)
+	at, found := slices.BinarySearchFunc(s.keys, key, compareTeamQueues)
 	if found {
 		s.keys = slices.Delete(s.keys, at, at+1)
 	}
 	return nil
 }
 
-// left reports whether the item waits no more.
-func (it *item) left() bool {
+// notWaiting reports whether the item no longer waits for a worker.
+func (it *item) notWaiting() bool {
 	return !it.waiting
 }
 
-// compareLanes orders lanes by queue and team.
-func compareLanes(a, b LaneKey) int {
+// compareTeamQueues orders team queues by queue and team.
+func compareTeamQueues(a, b TeamQueue) int {
 	if order := strings.Compare(a.Queue, b.Queue); order != 0 {
 		return order
 	}
 	return strings.Compare(a.Team, b.Team)
 }
 
-// enqueue makes the item wait for a worker.
+// enqueue adds the item to the tasks waiting for a worker.
 func (c *Controller) enqueue(now time.Time, it *item) {
 	if it.waiting {
 		return
 	}
 	it.waiting = true
-	c.lanes[class(it.record.Class)].add(laneKey(it.record), it)
+	c.waitingByClass[knownClass(it.record.Class)].add(teamQueueOf(it.record), it)
 	if it.record.Class == place.Urgent {
-		c.scheduleAt = now
+		c.nextScheduleAt = now
 	}
 }
 
-// schedule places waiting tasks: class before class, and in a class the lane
-// that runs least for its weight.
+// schedule places waiting tasks by class. Within a class, the team queue with the
+// fewest running tasks relative to its weight is served first.
 func (c *Controller) schedule(now time.Time) {
-	if now.Before(c.scheduleAt) {
+	if now.Before(c.nextScheduleAt) {
 		return
 	}
-	c.scheduleAt = now.Add(scheduleEvery)
+	c.nextScheduleAt = now.Add(scheduleInterval)
 	budget := maxBatchRows
 	for _, class := range place.Classes() {
-		set := c.lanes[class]
-		open := slices.Clone(set.keys)
+		tasks := c.waitingByClass[class]
+		open := slices.Clone(tasks.keys)
 		for budget > 0 && len(open) > 0 {
 			next := c.leastServed(open)
-			if c.placeOne(now, set, open[next]) {
+			if c.placeOne(now, tasks, open[next]) {
 				budget--
 				continue
 			}
@@ -150,29 +152,31 @@
 	}
 }
 
-// leastServed returns the index of the lane that runs least for its weight.
-func (c *Controller) leastServed(open []LaneKey) int {
+// leastServed returns the index of the team queue with the fewest running tasks
+// relative to its weight.
+func (c *Controller) leastServed(open []TeamQueue) int {
 	least := 0
 	for i, key := range open {
-		if c.served(key) < c.served(open[least]) {
+		if c.runningPerWeight(key) < c.runningPerWeight(open[least]) {
 			least = i
 		}
 	}
 	return least
 }
 
-// served is what a lane runs for its weight.
-func (c *Controller) served(key LaneKey) float64 {
+// runningPerWeight returns a team queue's running tasks divided by its weight.
+func (c *Controller) runningPerWeight(key TeamQueue) float64 {
 	return float64(c.running[key]) / c.limit(key).Weight
 }
 
-// placeOne places the first of the lane's next tasks that finds a worker.
-func (c *Controller) placeOne(now time.Time, set *laneSet, key LaneKey) bool {
+// placeOne places the first task at the head of the team queue for which there is
+// a worker.
+func (c *Controller) placeOne(now time.Time, tasks *waitingTasks, key TeamQueue) bool {
 	limit := c.limit(key)
-	if limit.Closed || limit.Running > 0 && c.running[key] >= limit.Running {
+	if limit.Closed || limit.MaxRunning > 0 && c.running[key] >= limit.MaxRunning {
 		return false
 	}
-	for _, it := range set.head(key) {
+	for _, it := range tasks.head(key) {
 		if it.waiting && c.tryPlace(now, it) {
 			return true
 		}
@@ -180,25 +184,26 @@
 	return false
 }
 
-// tryPlace asks the placer for a worker and carries out its decision.
+// tryPlace asks the placer for a worker and applies its decision.
 func (c *Controller) tryPlace(now time.Time, it *item) bool {
 	wanted := demand(now, it.record)
 	decision := c.cfg.Placer.Choose(now, wanted)
 	if decision.Outcome == place.Exhausted {
-		// Workers are too few to tell: the task may go back to one it failed on.
-		if now.Before(it.record.Changed.Add(exhaustedRetry)) {
+		// The task has failed on every fitting worker. These are too few to tell
+		// whether the task is at fault, so after a delay it may return to one.
+		if now.Before(it.record.Changed.Add(exhaustedRetryDelay)) {
 			return false
 		}
 		wanted.Avoid = nil
 		decision = c.cfg.Placer.Choose(now, wanted)
 	}
 	for _, name := range decision.Checkpoint {
-		c.makeRoom(now, name, func(victim *item) { victim.checkpoint = true })
+		c.updateItem(now, name, func(victim *item) { victim.checkpoint = true })
 	}
 	for _, name := range decision.Throttle {
-		c.makeRoom(now, name, func(victim *item) { victim.wantRate = place.ThrottledRate })
+		c.updateItem(now, name, func(victim *item) { victim.targetRate = place.ThrottledRate })
 	}
-	worker, known := c.links[decision.Worker]
+	worker, known := c.workers[decision.Worker]
 	if decision.Outcome != place.Placed || !known || worker.incarnation == "" {
 		return false
 	}
@@ -210,26 +215,26 @@
 		Worker:      decision.Worker,
 		Incarnation: worker.incarnation,
 		Epoch:       c.cfg.Epoch,
-		At:          now,
+		PlacedAt:    now,
 	}
-	c.hold(now, it, record)
+	c.reserve(now, it, record)
 	c.propose(now, it, record)
 	return true
 }
 
-// makeRoom changes what a task's worker should do with it.
-func (c *Controller) makeRoom(now time.Time, name string, change func(*item)) {
+// updateItem changes the desired state of the named task and reconciles it.
+func (c *Controller) updateItem(now time.Time, name string, change func(*item)) {
 	it, ok := c.items[name]
 	if !ok {
 		return
 	}
 	change(it)
-	c.act(now, it)
+	c.reconcile(now, it)
 }
 
-// restore brings throttled tasks back to full speed where there is room.
-func (c *Controller) restore(now time.Time) {
+// restoreThrottled returns throttled tasks to full speed where capacity allows.
+func (c *Controller) restoreThrottled(now time.Time) {
 	for _, name := range c.cfg.Placer.Restore(now) {
-		c.makeRoom(now, name, func(it *item) { it.wantRate = 1 })
+		c.updateItem(now, name, func(it *item) { it.targetRate = 1 })
 	}
 }
--- a/internal/task/submit.go
+++ b/internal/task/submit.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// defaultMaxOpen bounds the open tasks of a team on a queue.
+	// defaultMaxOpen is the default limit of open tasks per team queue.
 	defaultMaxOpen = 10_000
-	shortestRetry  = time.Second
-	longestRetry   = 10 * time.Minute
+	minRetryAfter  = time.Second
+	maxRetryAfter  = 10 * time.Minute
 )
 
-// Submit asks for a task to be taken. A Reply with the same request number ends
-// it: Accepted once the task is in the table. Submitting it again is harmless.
+// Submit submits a task. A Reply with the same request number answers it, with
+// Accepted once the task is in the table. Submitting the same spec again is safe.
 func (c *Controller) Submit(now time.Time, request uint64, spec Spec) {
-	if c.deposed {
+	if c.superseded {
 		c.emit(Reply{Request: request, Outcome: Refused, Reason: ReasonManagerMoved, RetryAfter: c.cfg.RetryAfter})
 		return
 	}
 	if it, ok := c.items[spec.Queue+"/"+spec.ID]; ok {
-		c.submitAgain(request, it, spec)
+		c.resubmit(request, it, spec)
 		return
 	}
-	if reason, retryAfter := c.refusal(spec); reason != "" {
+	if reason, retryAfter := c.refusalReason(spec); reason != "" {
 		c.emit(Reply{Request: request, Outcome: Refused, Reason: reason, RetryAfter: retryAfter})
 		return
 	}
-	it := &item{rate: 1, wantRate: 1, waiters: []uint64{request}}
+	it := &item{rate: 1, targetRate: 1, waiters: []uint64{request}}
 	record := Record{Spec: spec, Submitted: now, State: Submitted, Ran: RanNo}
 	it.record = record
 	it.digest = spec.digest()
@@ -38,8 +38,8 @@
 	c.propose(now, it, record)
 }
 
-// submitAgain answers a repeated submission.
-func (c *Controller) submitAgain(request uint64, it *item, spec Spec) {
+// resubmit answers a repeated submission.
+func (c *Controller) resubmit(request uint64, it *item, spec Spec) {
 	switch {
 	case it.digest != spec.digest():
 		c.emit(Reply{Request: request, Outcome: Refused, Reason: ReasonOtherSpec, Task: it.record})
@@ -50,41 +50,41 @@
 	}
 }
 
-// refusal is the reason for which the task is not taken, if there is one.
-func (c *Controller) refusal(spec Spec) (reason string, retryAfter time.Duration) {
-	if len(spec.Body) > c.cfg.MaxInline {
+// refusalReason returns why the task must be refused, or "" if it can be accepted.
+func (c *Controller) refusalReason(spec Spec) (reason string, retryAfter time.Duration) {
+	if len(spec.Body) > c.cfg.MaxInlineBytes {
 		return ReasonBodyTooLarge, 0
 	}
 	fits, known := c.cfg.Placer.Fits(spec.Size)
 	if !known {
-		return ReasonNoWorkers, longestRetry
+		return ReasonNoWorkers, maxRetryAfter
 	}
 	if !fits {
 		return ReasonFitsNoWorker, 0
 	}
-	key := LaneKey{Queue: spec.Queue, Team: spec.Team}
-	open := c.open[key]
+	key := TeamQueue{Queue: spec.Queue, Team: spec.Team}
+	open := c.openTasks[key]
 	if open >= c.limit(key).MaxOpen {
 		return ReasonQueueFull, c.retryAfter(key, spec, open)
 	}
 	return "", 0
 }
 
-// retryAfter estimates when a place in a full queue will be free: each running
-// task frees one when it ends.
-func (c *Controller) retryAfter(key LaneKey, spec Spec, open int) time.Duration {
+// retryAfter estimates when a full team queue will have space again: each running
+// task makes space for one when it ends.
+func (c *Controller) retryAfter(key TeamQueue, spec Spec, open int) time.Duration {
 	each := c.cfg.Placer.Expected(spec.Queue, spec.RunTime.Duration)
 	excess := 1 + open - c.limit(key).MaxOpen
 	wait := each * time.Duration(excess) / time.Duration(max(1, c.running[key]))
-	return min(max(wait, shortestRetry), longestRetry)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// Cancel asks for a task to be cancelled. Accepted means that the wish is in the
-// table; the Reply's task says whether it has ended already, and whether it ran.
+// Cancel cancels a task. Accepted means that the cancellation is in the table; the
+// Reply's task tells whether it has already ended, and whether it ran.
 func (c *Controller) Cancel(now time.Time, request uint64, queue, id string) {
 	it, ok := c.items[queue+"/"+id]
 	switch {
-	case c.deposed:
+	case c.superseded:
 		c.emit(Reply{Request: request, Outcome: Refused, Reason: ReasonManagerMoved, RetryAfter: c.cfg.RetryAfter})
 	case !ok:
 		c.emit(Reply{Request: request, Outcome: Refused, Reason: ReasonNoSuchTask})
@@ -93,11 +93,11 @@
 	default:
 		it.cancel = true
 		it.waiters = append(it.waiters, request)
-		c.act(now, it)
+		c.reconcile(now, it)
 	}
 }
 
-// reply answers all requests that wait for the item.
+// reply answers all requests waiting for the item.
 func (c *Controller) reply(it *item, outcome Outcome, reason string, retryAfter time.Duration) {
 	for _, request := range it.waiters {
 		c.emit(Reply{Request: request, Outcome: outcome, Reason: reason, RetryAfter: retryAfter, Task: it.record})
@@ -105,7 +105,7 @@
 	it.waiters = nil
 }
 
-// class maps unknown classes to the last one.
-func class(c place.Class) place.Class {
+// knownClass maps unknown classes to the last one.
+func knownClass(c place.Class) place.Class {
 	return place.Classes()[c.Rank()]
 }
