--- a/internal/task/runner/calls.go
+++ b/internal/task/runner/calls.go
@@ -13,26 +13,26 @@
 	"github.com/lovagedyke/lovagedyke/internal/worker"
 )
 
-// call makes one call to a worker and reports its end.
-func (r *reign) call(ctx context.Context, call task.Call) {
+// call sends a call to its worker and passes the answer to the controller.
+func (r *term) call(ctx context.Context, call task.Call) {
 	answer := task.Answer{Kind: task.AnswerNone}
 	if address, known := r.address(call.Worker); known {
-		status, err := r.order(ctx, address, call)
+		status, err := r.sendOrder(ctx, address, call)
 		answer = newAnswer(status, err)
 	}
-	r.step(func(c *task.Controller, now time.Time) { c.HandleCallResult(now, call, answer) })
+	r.update(func(c *task.Controller, now time.Time) { c.HandleCallResult(now, call, answer) })
 }
 
-// address is where a worker was last listed.
-func (r *reign) address(name string) (netip.AddrPort, bool) {
+// address returns the worker's address as last listed.
+func (r *term) address(name string) (netip.AddrPort, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	address, known := r.addresses[name]
 	return address, known
 }
 
-// order sends the call's order to the worker.
-func (r *reign) order(ctx context.Context, address netip.AddrPort, call task.Call) (worker.Status, error) {
+// sendOrder sends the call's order to the worker.
+func (r *term) sendOrder(ctx context.Context, address netip.AddrPort, call task.Call) (worker.Status, error) {
 	order := worker.Order{Shard: r.cfg.Shard, Epoch: call.Epoch, Rate: call.Rate}
 	switch call.Order {
 	case task.OrderStop:
@@ -46,8 +46,8 @@
 	}
 }
 
-// start fetches a large body and starts the task.
-func (r *reign) start(ctx context.Context, address netip.AddrPort, call task.Call) (worker.Status, error) {
+// start starts the task, after fetching a large body from the object store.
+func (r *term) start(ctx context.Context, address netip.AddrPort, call task.Call) (worker.Status, error) {
 	record := call.Record
 	body := record.Body
 	if record.BodyObject != "" {
@@ -73,8 +73,8 @@
 	})
 }
 
-// poll renews the leases at one worker and reports what it said.
-func (r *reign) poll(ctx context.Context, poll task.Poll) {
+// poll renews the leases at a worker and passes the result to the controller.
+func (r *term) poll(ctx context.Context, poll task.Poll) {
 	result := task.PollResult{Kind: task.AnswerNone}
 	if address, known := r.address(poll.Worker); known {
 		renewed, err := r.cfg.Workers.RenewAll(ctx, address, worker.Renewal{
@@ -82,10 +82,10 @@
 		})
 		result = newPollResult(renewed, err)
 	}
-	r.step(func(c *task.Controller, now time.Time) { c.HandlePollResult(now, poll, result) })
+	r.update(func(c *task.Controller, now time.Time) { c.HandlePollResult(now, poll, result) })
 }
 
-// newPollResult maps the end of a renewal.
+// newPollResult converts the response to a lease renewal.
 func newPollResult(renewed worker.Renewed, err error) task.PollResult {
 	if err != nil {
 		return task.PollResult{Kind: newAnswer(worker.Status{}, err).Kind}
@@ -97,8 +97,8 @@
 	return result
 }
 
-// newAnswer maps the end of a call to a worker. An error that does not prove
-// that the call had no effect is no answer at all.
+// newAnswer converts the response to a call. An error that does not prove that
+// the call had no effect becomes AnswerNone.
 func newAnswer(status worker.Status, err error) task.Answer {
 	switch {
 	case errors.Is(err, worker.ErrStale):
@@ -124,7 +124,8 @@
 	}
 }
 
-// answerKind maps a worker's state; an unknown one counts as no answer.
+// answerKind converts a state reported by a worker. An unknown state becomes
+// AnswerNone.
 func answerKind(state worker.State) task.AnswerKind {
 	switch state {
 	case worker.Running:
--- a/internal/task/runner/charges.go
+++ b/internal/task/runner/charges.go
@@ -10,12 +10,11 @@
 	"github.com/lovagedyke/lovagedyke/internal/task"
 )
 
-// taskRowPrefix starts the keys of all tasks' rows.
+// taskRowPrefix is the key prefix of all task rows.
 const taskRowPrefix = "task/"
 
-// withCharges adds the charge of each task that the transaction ends as done:
-// charge and end are written together or not at all. Writing it again writes
-// the same row.
+// withCharges adds a charge for each task that the transaction marks as done, so
+// that both are written atomically. A retry writes the same charge row.
 func withCharges(txn table.Txn) table.Txn {
 	var charges []table.Write
 	for _, write := range txn.Writes {
@@ -26,7 +25,7 @@
 		if json.Unmarshal(write.Value, &record) != nil || record.State != task.Done {
 			continue
 		}
-		charges = append(charges, chargeOf(record))
+		charges = append(charges, chargeWrite(record))
 	}
 	if len(charges) == 0 {
 		return txn
@@ -35,9 +34,9 @@
 	return txn
 }
 
-// chargeOf returns the charge of a task that is done: its last attempt is the
-// run whose result was taken.
-func chargeOf(record task.Record) table.Write {
+// chargeWrite returns the write of the charge for a task that is done. The charge
+// names the last attempt, which produced the result.
+func chargeWrite(record task.Record) table.Write {
 	run := RunID(record.Queue, record.ID, record.Attempts)
 	value, err := json.Marshal(charge.Charge{
 		Run: run, Team: record.Team, Service: record.Queue, Started: record.Submitted,
@@ -49,7 +48,7 @@
 	return table.Write{Key: charge.Prefix + run.String(), Value: value}
 }
 
-// RunID names an attempt at a task on charges.
+// RunID returns the run ID under which an attempt of a task is charged.
 func RunID(queue, id string, attempt int) charge.RunID {
 	return charge.RunID{Entry: roster.Identity{Name: queue + "-" + id}, Sequence: uint64(attempt)}
 }
--- a/internal/task/runner/hosts.go
+++ b/internal/task/runner/hosts.go
@@ -11,28 +11,28 @@
 	"github.com/lovagedyke/lovagedyke/internal/task"
 )
 
-// watcher follows the platform's list of the pool's workers.
-type watcher struct {
-	reign *reign
-	// reported is when each worker last reported; missing is since when a worker
-	// with attempts has been absent from the list.
-	reported map[string]time.Time
-	missing  map[string]time.Time
-	leaving  map[string]bool
+// hostWatcher polls the platform's host list for the pool's workers.
+type hostWatcher struct {
+	term *term
+	// lastReport is when each worker was last asked for a report. missingSince is
+	// when a worker known to the controller was first absent from the list.
+	lastReport   map[string]time.Time
+	missingSince map[string]time.Time
+	leaving      map[string]bool
 }
 
-// watchHosts tells the controller of workers that come, leave and are gone.
-func (r *reign) watchHosts(ctx context.Context) {
-	w := &watcher{
-		reign:    r,
-		reported: make(map[string]time.Time),
-		missing:  make(map[string]time.Time),
-		leaving:  make(map[string]bool),
+// watchHosts notifies the controller of workers that join, leave or are gone.
+func (r *term) watchHosts(ctx context.Context) {
+	w := &hostWatcher{
+		term:         r,
+		lastReport:   make(map[string]time.Time),
+		missingSince: make(map[string]time.Time),
+		leaving:      make(map[string]bool),
 	}
-	ticker := time.NewTicker(hostsEvery)
+	ticker := time.NewTicker(hostListInterval)
 	defer ticker.Stop()
 	for {
-		w.look(ctx)
+		w.refresh(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -41,12 +41,12 @@
 	}
 }
 
-// look reads the list once. A list that cannot be read changes nothing.
-func (w *watcher) look(ctx context.Context) {
-	hosts, err := w.reign.cfg.Hosts.Hosts(ctx)
+// refresh reads the list once. If it cannot be read, the workers stay unchanged.
+func (w *hostWatcher) refresh(ctx context.Context) {
+	hosts, err := w.term.cfg.Hosts.Hosts(ctx)
 	if err != nil {
-		// Absence must be seen without a gap.
-		clear(w.missing)
+		// A worker is gone only after an absence without gaps in the observation.
+		clear(w.missingSince)
 		return
 	}
 	now := time.Now()
@@ -59,52 +59,53 @@
 			continue
 		}
 		listed[host.Name] = true
-		w.reign.setAddress(host.Name, address)
-		if host.Pool != w.reign.cfg.Pool || host.State != platform.Live || w.reign.isLeaving(host.Name) {
+		w.term.setAddress(host.Name, address)
+		if host.Pool != w.term.cfg.Pool || host.State != platform.Live || w.term.isLeaving(host.Name) {
 			w.leave(host.Name)
 			continue
 		}
 		delete(w.leaving, host.Name)
-		if now.Sub(w.reported[host.Name]) >= reportEvery || w.reign.silent(host.Name) {
-			w.reported[host.Name] = now
-			group.Go(func() { w.reign.report(ctx, host, address) })
+		if now.Sub(w.lastReport[host.Name]) >= reportInterval || w.term.silent(host.Name) {
+			w.lastReport[host.Name] = now
+			group.Go(func() { w.term.fetchReport(ctx, host, address) })
 		}
 	}
-	w.findGone(now, listed)
+	w.markGone(now, listed)
 }
 
 // leave drains a worker that is leaving the pool.
-func (w *watcher) leave(name string) {
+func (w *hostWatcher) leave(name string) {
 	if w.leaving[name] {
 		return
 	}
 	w.leaving[name] = true
-	delete(w.reported, name)
-	w.reign.step(func(c *task.Controller, now time.Time) { c.Leave(now, name, true) })
+	delete(w.lastReport, name)
+	w.term.update(func(c *task.Controller, now time.Time) { c.Leave(now, name, true) })
 }
 
-// findGone reports the workers that have been absent for longer than the lag.
-func (w *watcher) findGone(now time.Time, listed map[string]bool) {
-	w.reign.step(func(c *task.Controller, _ time.Time) {
+// markGone marks the workers as gone that have been absent from the list for
+// longer than its lag.
+func (w *hostWatcher) markGone(now time.Time, listed map[string]bool) {
+	w.term.update(func(c *task.Controller, _ time.Time) {
 		for _, name := range c.Workers() {
 			if listed[name] {
-				delete(w.missing, name)
+				delete(w.missingSince, name)
 				continue
 			}
-			since, known := w.missing[name]
+			since, known := w.missingSince[name]
 			if !known {
-				w.missing[name] = now
+				w.missingSince[name] = now
 				continue
 			}
-			if now.Sub(since) > w.reign.cfg.ListLag {
+			if now.Sub(since) > w.term.cfg.ListLag {
 				c.Gone(now, name)
-				delete(w.reported, name)
+				delete(w.lastReport, name)
 			}
 		}
 	})
 }
 
-// workerAddress is where the host's worker listens, if it has one.
+// workerAddress returns the address of the host's worker, if it has one.
 func workerAddress(host platform.Host) (netip.AddrPort, bool) {
 	for _, endpoint := range host.Endpoints {
 		if endpoint.Service == platform.WorkerService {
@@ -114,29 +115,30 @@
 	return netip.AddrPort{}, false
 }
 
-// setAddress notes where a worker listens.
-func (r *reign) setAddress(name string, address netip.AddrPort) {
+// setAddress records a worker's address.
+func (r *term) setAddress(name string, address netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.addresses[name] = address
 }
 
-// silent reports whether the worker has stopped answering or is not known yet.
-func (r *reign) silent(name string) bool {
+// silent reports whether the worker has stopped answering or has not joined yet.
+func (r *term) silent(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.controller.Silent(name)
 }
 
-// report asks a worker for its report and lets it take tasks.
-func (r *reign) report(ctx context.Context, host platform.Host, address netip.AddrPort) {
+// fetchReport requests a report from a worker and joins the worker to the
+// controller.
+func (r *term) fetchReport(ctx context.Context, host platform.Host, address netip.AddrPort) {
 	report, err := r.cfg.Workers.Report(ctx, address)
 	if err != nil {
 		return
 	}
-	r.step(func(c *task.Controller, now time.Time) {
+	r.update(func(c *task.Controller, now time.Time) {
 		if r.leaving[host.Name] {
-			return // It was told to leave while it reported.
+			return // It began to leave while the report was being fetched.
 		}
 		c.Join(now, place.Worker{
 			Name:       host.Name,
--- a/internal/task/runner/runner_test.go
+++ b/internal/task/runner/runner_test.go
@@ -30,14 +30,14 @@
 }
 
 const (
-	pool     = "pool-a"
-	patience = 400 * time.Millisecond
-	// testTime bounds a test; no verdict rests on how much of it is used.
+	pool             = "pool-a"
+	heartbeatTimeout = 400 * time.Millisecond
+	// testTime is the timeout of a test. No check depends on the time used.
 	testTime = 30 * time.Second
 )
 
-// bench is a platform with workers and the runners of one shard.
-type bench struct {
+// cluster is a fake platform with fake workers and the runners of one shard.
+type cluster struct {
 	t        testing.TB
 	ctx      context.Context
 	platform *httptest.Server
@@ -46,86 +46,86 @@
 	stops    []func()
 }
 
-func newBench(t testing.TB, workers, runners int) *bench {
+func newCluster(t testing.TB, workers, runners int) *cluster {
 	ctx, cancel := context.WithTimeout(context.Background(), testTime)
 	t.Cleanup(cancel)
-	b := &bench{t: t, ctx: ctx, platform: httptest.NewServer(fakeplatform.New(fakeplatform.Config{}).Handler())}
-	t.Cleanup(b.platform.Close)
+	c := &cluster{t: t, ctx: ctx, platform: httptest.NewServer(fakeplatform.New(fakeplatform.Config{}).Handler())}
+	t.Cleanup(c.platform.Close)
 	for i := range workers {
 		name := fmt.Sprintf("worker-%d", i)
 		server := httptest.NewServer(fakeworker.New(fakeworker.Config{
 			Name: name, Incarnation: "a", Capacity: worker.Resources{CPUs: 4, Memory: 1 << 30},
 		}).Handler())
 		t.Cleanup(server.Close)
-		b.workers = append(b.workers, server)
-		b.put(b.platform.URL+"/hosts/"+name, platform.Host{
+		c.workers = append(c.workers, server)
+		c.putJSON(c.platform.URL+"/hosts/"+name, platform.Host{
 			Pool: pool, State: platform.Live, Rack: name,
 			Endpoints: []platform.Endpoint{{Service: platform.WorkerService, Address: address(server)}},
 		})
 	}
 	for i := range runners {
-		b.start(fmt.Sprintf("manager-%d", i))
+		c.startRunner(fmt.Sprintf("manager-%d", i))
 	}
-	return b
+	return c
 }
 
 func address(server *httptest.Server) netip.AddrPort {
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// start starts one more runner.
-func (b *bench) start(name string) {
-	client := platform.New(platform.Config{Address: address(b.platform), Process: name})
-	calls := worker.New(worker.Config{Timeout: time.Second})
+// startRunner starts another runner.
+func (c *cluster) startRunner(name string) {
+	platformClient := platform.New(platform.Config{Address: address(c.platform), Process: name})
+	workerClient := worker.New(worker.Config{Timeout: time.Second})
 	r := runner.New(runner.Config{
 		Shard: pool, Pool: pool, Queues: []string{"plans"}, Holder: name,
-		Store: client, Objects: client, Hosts: client, Workers: calls,
-		Log: log.New(io.Discard), Patience: patience, ListLag: time.Second, Tick: 10 * time.Millisecond,
+		Store: platformClient, Objects: platformClient, Hosts: platformClient, Workers: workerClient,
+		Log: log.New(io.Discard), HeartbeatTimeout: heartbeatTimeout, ListLag: time.Second, StepInterval: 10 * time.Millisecond,
 		Task: task.Config{CommitInterval: 20 * time.Millisecond, RetryAfter: 100 * time.Millisecond},
 	})
-	ctx, stop := context.WithCancel(b.ctx)
+	ctx, stop := context.WithCancel(c.ctx)
 	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
-	ended := false
-	b.runners = append(b.runners, r)
-	b.stops = append(b.stops, func() {
-		if ended {
+	stopped := false
+	c.runners = append(c.runners, r)
+	c.stops = append(c.stops, func() {
+		if stopped {
 			return
 		}
-		ended = true
+		stopped = true
 		stop()
 		<-done
-		client.Close()
-		calls.Close()
+		platformClient.Close()
+		workerClient.Close()
 	})
-	b.t.Cleanup(b.stops[len(b.stops)-1])
+	c.t.Cleanup(c.stops[len(c.stops)-1])
 }
 
-func (b *bench) put(url string, body any) {
-	b.t.Helper()
+func (c *cluster) putJSON(url string, body any) {
+	c.t.Helper()
 	data, err := json.Marshal(body)
 	if err != nil {
-		b.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	request, err := http.NewRequestWithContext(b.ctx, http.MethodPut, url, bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(c.ctx, http.MethodPut, url, bytes.NewReader(data))
 	if err != nil {
-		b.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	response, err := b.platform.Client().Do(request)
+	response, err := c.platform.Client().Do(request)
 	if err != nil {
-		b.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	_ = response.Body.Close()
 	if got, want := response.StatusCode, http.StatusNoContent; got != want {
-		b.t.Fatalf("%s: got status %d, want %d", url, got, want)
+		c.t.Fatalf("%s: got status %d, want %d", url, got, want)
 	}
 }
 
-// do repeats a request until one of the runners has taken it.
-func (b *bench) do(request func(*runner.Runner) (task.Reply, error)) task.Reply {
-	b.t.Helper()
-	for b.ctx.Err() == nil {
-		for _, r := range b.runners {
+// retryRequest repeats a request until one of the runners has accepted it.
+func (c *cluster) retryRequest(request func(*runner.Runner) (task.Reply, error)) task.Reply {
+	c.t.Helper()
+	for c.ctx.Err() == nil {
+		for _, r := range c.runners {
 			reply, err := request(r)
 			if err == nil && (reply.Outcome == task.Accepted || reply.Outcome == task.Exists) {
 				return reply
@@ -133,59 +133,59 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	b.t.Fatal("request: got no runner that takes it, want one")
+	c.t.Fatal("request: no runner accepted it, want one")
 	return task.Reply{}
 }
 
-func (b *bench) submit(id string, job fakeworker.Job, once bool) {
-	b.t.Helper()
+func (c *cluster) submit(id string, job fakeworker.Job, once bool) {
+	c.t.Helper()
 	body, err := json.Marshal(job)
 	if err != nil {
-		b.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	spec := task.Spec{
 		ID: id, Queue: "plans", Team: "reef", Class: place.Normal, Once: once, Body: body,
 		Size: place.Size{CPUs: 1, Memory: 1 << 20},
 	}
-	b.do(func(r *runner.Runner) (task.Reply, error) { return r.Submit(b.ctx, spec) })
+	c.retryRequest(func(r *runner.Runner) (task.Reply, error) { return r.Submit(c.ctx, spec) })
 }
 
-// await waits until the task has ended.
-func (b *bench) await(id string) task.Record {
-	b.t.Helper()
-	for b.ctx.Err() == nil {
-		record, ok, err := b.runners[0].Task(b.ctx, "plans", id)
+// awaitEnd waits until the task has ended and returns its record.
+func (c *cluster) awaitEnd(id string) task.Record {
+	c.t.Helper()
+	for c.ctx.Err() == nil {
+		record, ok, err := c.runners[0].Task(c.ctx, "plans", id)
 		if err == nil && ok && record.State.Final() {
 			return record
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	record, _, err := b.runners[0].Task(context.Background(), "plans", id)
-	b.t.Fatalf("task %s: got %+v, %v, want it ended; %+v", id, record, err, b.runners[0].Dump())
+	record, _, err := c.runners[0].Task(context.Background(), "plans", id)
+	c.t.Fatalf("task %s: got %+v, %v, want it ended; %+v", id, record, err, c.runners[0].Dump())
 	return task.Record{}
 }
 
-// stats is what a worker says took place there.
-func (b *bench) stats(server *httptest.Server) fakeworker.Stats {
-	b.t.Helper()
+// stats fetches the statistics of a worker.
+func (c *cluster) stats(server *httptest.Server) fakeworker.Stats {
+	c.t.Helper()
 	response, err := server.Client().Get(server.URL + "/standin/stats")
 	if err != nil {
-		b.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	var stats fakeworker.Stats
 	if err := json.NewDecoder(response.Body).Decode(&stats); err != nil {
-		b.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return stats
 }
 
-// runs counts the runs of each task at all workers.
-func (b *bench) runs() map[string]int {
-	b.t.Helper()
+// runsPerTask returns the number of runs of each task on all workers.
+func (c *cluster) runsPerTask() map[string]int {
+	c.t.Helper()
 	runs := map[string]int{}
-	for _, server := range b.workers {
-		for name, count := range b.stats(server).RunsPerTask {
+	for _, server := range c.workers {
+		for name, count := range c.stats(server).RunsPerTask {
 			runs[name] += count
 		}
 	}
@@ -193,67 +193,67 @@
 }
 
 // holder returns the index of the runner that manages the shard.
-func (b *bench) holder() int {
-	b.t.Helper()
-	for b.ctx.Err() == nil {
-		for i, r := range b.runners {
+func (c *cluster) holder() int {
+	c.t.Helper()
+	for c.ctx.Err() == nil {
+		for i, r := range c.runners {
 			if !r.Dump().Superseded {
 				return i
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	b.t.Fatal("holder: got none, want one")
+	c.t.Fatal("holder: got none, want one")
 	return 0
 }
 
-func (b *bench) faults(server *httptest.Server, path string, faults map[string]any) {
-	b.put(server.URL+path, faults)
+func (c *cluster) setFaults(server *httptest.Server, path string, faults map[string]any) {
+	c.putJSON(server.URL+path, faults)
 }
 
-// TestTasksThroughFaults submits tasks that must not be repeated, disturbs them
-// halfway, and wants each to end with exactly one run.
+// TestTasksThroughFaults submits tasks that must not be repeated, injects a fault
+// halfway, and checks that each task is done after exactly one run.
 func TestTasksThroughFaults(t *testing.T) {
 	const tasks = 24
-	tests := map[string]func(*bench){
-		"table and worker lose answers": func(b *bench) {
-			b.faults(b.platform, "/faults", map[string]any{"lose-answers": 3, "slow": "4ms"})
-			b.faults(b.workers[0], "/standin/faults", map[string]any{"lose-answers": 4})
+	tests := map[string]func(*cluster){
+		"table and worker lose answers": func(c *cluster) {
+			c.setFaults(c.platform, "/faults", map[string]any{"lose-answers": 3, "slow": "4ms"})
+			c.setFaults(c.workers[0], "/standin/faults", map[string]any{"lose-answers": 4})
 		},
-		"holder stops": func(b *bench) { b.stops[b.holder()]() },
-		"holder is cut off from the table": func(b *bench) {
-			b.faults(b.platform, "/faults", map[string]any{
-				"down": true, "processes": []string{fmt.Sprint("manager-", b.holder())},
+		"holder stops": func(c *cluster) { c.stops[c.holder()]() },
+		"holder is cut off from the table": func(c *cluster) {
+			c.setFaults(c.platform, "/faults", map[string]any{
+				"down": true, "processes": []string{fmt.Sprint("manager-", c.holder())},
 			})
 		},
-		"table is down": func(b *bench) {
-			b.faults(b.platform, "/faults", map[string]any{"down": true})
-			time.Sleep(2 * patience)
-			b.faults(b.platform, "/faults", map[string]any{"down": false})
+		"table is down": func(c *cluster) {
+			c.setFaults(c.platform, "/faults", map[string]any{"down": true})
+			time.Sleep(2 * heartbeatTimeout)
+			c.setFaults(c.platform, "/faults", map[string]any{"down": false})
 		},
-		"worker is paused": func(b *bench) {
-			b.faults(b.workers[0], "/standin/faults", map[string]any{"paused": true})
-			time.Sleep(2 * patience)
-			b.faults(b.workers[0], "/standin/faults", map[string]any{"paused": false})
+		"worker is paused": func(c *cluster) {
+			c.setFaults(c.workers[0], "/standin/faults", map[string]any{"paused": true})
+			time.Sleep(2 * heartbeatTimeout)
+			c.setFaults(c.workers[0], "/standin/faults", map[string]any{"paused": false})
 		},
 	}
-	for name, disturb := range tests {
+	for name, injectFault := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 2, 2)
+			c := newCluster(t, 2, 2)
 			for i := range tasks {
 				if i == tasks/2 {
-					disturb(b)
+					injectFault(c)
 				}
-				b.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(100 * time.Millisecond)}, true)
+				c.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(100 * time.Millisecond)}, true)
 			}
-			b.faults(b.platform, "/faults", map[string]any{"slow": "1ms"})
+			c.setFaults(c.platform, "/faults", map[string]any{"slow": "1ms"})
 			for i := range tasks {
-				record := b.await(fmt.Sprint("task-", i))
+				record := c.awaitEnd(fmt.Sprint("task-", i))
 				if got, want := record.State, task.Done; got != want {
 					t.Errorf("task %s: got %s (%s), want %s", record.ID, got, record.Reason, want)
 				}
 			}
-			runs := b.runs()
+			runs := c.runsPerTask()
 			for i := range tasks {
 				name := fmt.Sprintf("plans/task-%d", i)
 				if got, want := runs[name], 1; got != want {
@@ -264,41 +264,43 @@
 	}
 }
 
-// TestBadWorker wants the tasks done elsewhere when a worker fails everything.
-func TestBadWorker(t *testing.T) {
+// TestFailingWorker checks that all tasks are done, and that few are run on a worker
+// that fails every task.
+func TestFailingWorker(t *testing.T) {
 	const (
-		tasks  = 40
-		wasted = 8
+		tasks   = 40
+		maxRuns = 8
 	)
-	b := newBench(t, 3, 1)
-	b.faults(b.workers[0], "/standin/faults", map[string]any{"fail-everything": true})
+	c := newCluster(t, 3, 1)
+	c.setFaults(c.workers[0], "/standin/faults", map[string]any{"fail-everything": true})
 	for i := range tasks {
-		b.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(20 * time.Millisecond)}, false)
+		c.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(20 * time.Millisecond)}, false)
 	}
 	for i := range tasks {
-		record := b.await(fmt.Sprint("task-", i))
+		record := c.awaitEnd(fmt.Sprint("task-", i))
 		if got, want := record.State, task.Done; got != want {
 			t.Errorf("task %s: got %s (%s), want %s", record.ID, got, record.Reason, want)
 		}
 	}
-	if got, want := len(b.stats(b.workers[0]).Runs), wasted; got > want {
+	if got, want := len(c.stats(c.workers[0]).Runs), maxRuns; got > want {
 		t.Errorf("runs on the bad worker: got %d, want at most %d", got, want)
 	}
 }
 
-// TestDrain moves the tasks off a worker that is told to leave, but for one that
-// must not be repeated, and wants it drained only when that has ended.
+// TestDrain checks that a leaving worker's tasks are moved to other workers, except
+// one that must not be repeated, and that the worker is drained only after that one
+// has ended.
 func TestDrain(t *testing.T) {
-	b := newBench(t, 2, 1)
+	c := newCluster(t, 2, 1)
 	for i := range 4 {
-		b.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(time.Hour)}, false)
+		c.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(time.Hour)}, false)
 	}
-	b.submit("once", fakeworker.Job{RunTime: duration.New(500 * time.Millisecond)}, true)
-	for len(b.runs()) < 5 && b.ctx.Err() == nil {
+	c.submit("once", fakeworker.Job{RunTime: duration.New(500 * time.Millisecond)}, true)
+	for len(c.runsPerTask()) < 5 && c.ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
-	r := b.runners[0]
-	record, _, err := r.Task(b.ctx, "plans", "once")
+	r := c.runners[0]
+	record, _, err := r.Task(c.ctx, "plans", "once")
 	if err != nil || record.Attempt == nil {
 		t.Fatalf("task: got %+v, %v, want it on a worker", record, err)
 	}
@@ -307,7 +309,7 @@
 		t.Errorf("drained before it left: got %v, %v, want false", drained, err)
 	}
 	r.SetLeaving([]string{leaving})
-	for b.ctx.Err() == nil {
+	for c.ctx.Err() == nil {
 		fence, drained, err := r.Drained(leaving)
 		if err != nil {
 			t.Fatal(err)
@@ -317,10 +319,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if claim, err := r.Holder(b.ctx); claim.Holder != "manager-0" || err != nil {
+	if claim, err := r.Holder(c.ctx); claim.Holder != "manager-0" || err != nil {
 		t.Errorf("holder: got %+v, %v, want manager-0", claim, err)
 	}
-	if got, want := b.await("once").State, task.Done; got != want {
+	if got, want := c.awaitEnd("once").State, task.Done; got != want {
 		t.Errorf("task not to be repeated: got %s, want %s", got, want)
 	}
 	for _, open := range r.Dump().Tasks {
@@ -328,12 +330,12 @@
 			t.Errorf("task %s is still on the worker that left", open.Task)
 		}
 	}
-	if got, want := b.runs()["plans/once"], 1; got != want {
+	if got, want := c.runsPerTask()["plans/once"], 1; got != want {
 		t.Errorf("runs: got %d, want %d", got, want)
 	}
 }
 
-func TestEnds(t *testing.T) {
+func TestFinalStates(t *testing.T) {
 	tests := map[string]struct {
 		job        fakeworker.Job
 		once       bool
@@ -347,14 +349,14 @@
 		"fails once":          {job: fakeworker.Job{Fail: "bad-plan"}, once: true, wantState: task.Failed, wantRan: task.RanYes},
 		"cancelled while run": {job: fakeworker.Job{RunTime: duration.New(time.Hour)}, cancel: true, wantState: task.Cancelled},
 	}
-	b := newBench(t, 3, 1)
+	c := newCluster(t, 3, 1)
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			b.submit(name, tc.job, tc.once)
+			c.submit(name, tc.job, tc.once)
 			if tc.cancel {
-				b.do(func(r *runner.Runner) (task.Reply, error) { return r.Cancel(b.ctx, "plans", name) })
+				c.retryRequest(func(r *runner.Runner) (task.Reply, error) { return r.Cancel(c.ctx, "plans", name) })
 			}
-			record := b.await(name)
+			record := c.awaitEnd(name)
 			if got, want := record.State, tc.wantState; got != want {
 				t.Errorf("state: got %s (%s), want %s", got, record.Reason, want)
 			}
@@ -364,7 +366,7 @@
 			if got, want := len(record.Result) > 0, tc.wantResult; got != want {
 				t.Errorf("result: got %q, want some %v", record.Result, want)
 			}
-			if got, want := b.runs()["plans/"+name] > 0, record.Ran == task.RanYes; got != want {
+			if got, want := c.runsPerTask()["plans/"+name] > 0, record.Ran == task.RanYes; got != want {
 				t.Errorf("ran at a worker: got %v, want %v as the row says", got, want)
 			}
 		})
