--- a/internal/claim/bucket.go
+++ b/internal/claim/bucket.go
@@ -6,71 +6,72 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// bucket is the state of one part of the ids.
+// bucket is the state of one hash bucket of IDs.
 type bucket struct {
-	number   int
-	key      string
-	home     roster.Member
-	second   roster.Member
-	standing roster.Standing
-	lostAt   time.Time
-	loaded   bool
-	loading  bool
-	retryAt  time.Time
-	entries  map[ID]*entry
+	number     int
+	key        string
+	primary    roster.Member
+	secondary  roster.Member
+	standing   roster.Standing
+	lostAt     time.Time
+	loaded     bool
+	loading    bool
+	nextLoadAt time.Time
+	entries    map[ID]*entry
 }
 
-// newBucket returns an empty bucket.
+// newBucket returns a bucket without replicas and entries.
 func newBucket(number int) *bucket {
 	return &bucket{number: number, key: BucketKey(number), standing: roster.Waiting, entries: make(map[ID]*entry)}
 }
 
-// entry is what this process holds of one id.
+// entry is this process's in-memory state of one ID.
 type entry struct {
 	bucket *bucket
 	id     ID
 	record Record
-	// pending is a claim that is not durable yet.
-	pending *pending
+	// pending is the claim that is not durable yet, if any.
+	pending *pendingClaim
 	// rowVersion is the row's version if rowKnown.
 	rowVersion uint64
 	rowKnown   bool
-	// dirty means that the table may lack what record says.
+	// dirty is set while the table may not hold record.
 	dirty bool
-	// owed is the roster version under which record was granted or mirrored
-	// without the table; 0 if it was not.
-	owed   uint64
-	queued bool
-	busy   bool
+	// unpersistedVersion is the roster version at which record was granted or
+	// mirrored without the table, or 0.
+	unpersistedVersion uint64
+	queued             bool
+	inBatch            bool
 }
 
-// pending is a claim on its way to become durable.
-type pending struct {
-	record Record
-	since  time.Time
-	// tried means that table or second may have recorded the claim.
-	tried   bool
-	askedAt time.Time
+// pendingClaim is a claim that is being made durable.
+type pendingClaim struct {
+	record    Record
+	createdAt time.Time
+	// maybeRecorded is set once the table or the secondary may have recorded the
+	// claim.
+	maybeRecorded    bool
+	secondaryAskedAt time.Time
 }
 
-// idle reports whether the entry can be dropped without loss.
+// idle reports whether the entry can be removed without loss.
 func (e *entry) idle() bool {
-	return e.pending == nil && !e.dirty && !e.busy
+	return e.pending == nil && !e.dirty && !e.inBatch
 }
 
-// absorb merges a row that was read into the entry.
-func (e *entry) absorb(record Record, version uint64) {
+// mergeRow merges the record of a row into the entry.
+func (e *entry) mergeRow(record Record, version uint64) {
 	e.rowVersion = version
 	e.rowKnown = true
 	merged := Merge(e.record, record)
-	e.dirty = !merged.same(record)
+	e.dirty = !merged.equivalent(record)
 	e.record = merged
-	e.clean()
+	e.clearUnpersisted()
 }
 
-// clean notes that the table holds the record, unless it is dirty.
-func (e *entry) clean() {
+// clearUnpersisted clears unpersistedVersion if the table holds the record.
+func (e *entry) clearUnpersisted() {
 	if !e.dirty {
-		e.owed = 0
+		e.unpersistedVersion = 0
 	}
 }
--- a/internal/claim/choice_test.go
+++ b/internal/claim/choice_test.go
@@ -9,10 +9,10 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// any returns one of the processes that run.
-func (w *world) any() *process {
+// anyProcess returns a random running process, or nil if there is none.
+func (sim *simulation) anyProcess() *process {
 	var up []*process
-	for _, p := range w.procs {
+	for _, p := range sim.processes {
 		if p.alive && !p.paused {
 			up = append(up, p)
 		}
@@ -20,46 +20,47 @@
 	if len(up) == 0 {
 		return nil
 	}
-	return up[w.pick(len(up))]
+	return up[sim.pick(len(up))]
 }
 
-// id returns one of the ids in use, or a new one; every second is a UUIDv7. A
-// focused world keeps to one id for longer.
-func (w *world) id() claim.ID {
-	if n := len(w.ids); n > 0 && w.pick(3*w.focus) > 0 {
-		return w.ids[max(0, n-1-w.pick(4/w.focus))]
+// anyID returns an ID in use or a new one. About half of the new ones are UUIDv7
+// keys. A higher idReuse repeats the newest ID more often.
+func (sim *simulation) anyID() claim.ID {
+	if n := len(sim.ids); n > 0 && sim.pick(3*sim.idReuse) > 0 {
+		return sim.ids[max(0, n-1-sim.pick(4/sim.idReuse))]
 	}
-	n := len(w.ids)
+	n := len(sim.ids)
 	key := fmt.Sprintf("order-%d", n)
-	if w.pick(2) == 0 {
-		key = uuid(w.now, n)
+	if sim.pick(2) == 0 {
+		key = uuid(sim.now, n)
 	}
-	w.ids = append(w.ids, claim.ID{Team: "t", Service: "s", Key: key})
-	return w.ids[n]
+	sim.ids = append(sim.ids, claim.ID{Team: "t", Service: "s", Key: key})
+	return sim.ids[n]
 }
 
-// uuid returns a UUIDv7 of the time.
+// uuid returns a UUIDv7 with the timestamp.
 func uuid(at time.Time, n int) string {
 	stamp := fmt.Sprintf("%012x", at.UnixMilli())
 	return fmt.Sprintf("%s-%s-7000-8000-%012d", stamp[:8], stamp[8:], n)
 }
 
-// holder returns home or second of the newest id, as one process sees them.
-func (w *world) holder() *process {
-	p := w.any()
-	if p == nil || len(w.ids) == 0 {
+// anyReplica returns the primary or the secondary of the newest ID, according to
+// the roster of a random process.
+func (sim *simulation) anyReplica() *process {
+	p := sim.anyProcess()
+	if p == nil || len(sim.ids) == 0 {
 		return nil
 	}
-	home, second := p.view.Pair(claim.BucketKey(w.ids[len(w.ids)-1].Bucket()))
-	if w.pick(2) == 0 {
-		return w.find(home.Identity)
+	primary, secondary := p.roster.Pair(claim.BucketKey(sim.ids[len(sim.ids)-1].Bucket()))
+	if sim.pick(2) == 0 {
+		return sim.find(primary.Identity)
 	}
-	return w.find(second.Identity)
+	return sim.find(secondary.Identity)
 }
 
-// attempt runs f on a claimant's attempt in the state, if there is one.
-func (w *world) attempt(state string, f func(*process, claim.Token, *attempt)) {
-	p := w.any()
+// withAttempt runs f on a random attempt in the state, if there is one.
+func (sim *simulation) withAttempt(state string, f func(*process, claim.Token, *attempt)) {
+	p := sim.anyProcess()
 	if p == nil {
 		return
 	}
@@ -70,17 +71,17 @@
 		}
 	}
 	if len(tokens) > 0 {
-		token := tokens[w.pick(len(tokens))]
+		token := tokens[sim.pick(len(tokens))]
 		f(p, token, p.attempts[token])
 	}
 }
 
-func (w *world) left(p *process) bool {
-	m, ok := p.view.Find(p.self.Name)
+func (sim *simulation) isLeaving(p *process) bool {
+	m, ok := p.roster.Find(p.self.Name)
 	return ok && m.State == roster.StateLeaving
 }
 
-func (w *world) setDown(down bool) {
-	w.down = down
-	w.store.SetFaults(table.Faults{Down: down})
+func (sim *simulation) setDown(down bool) {
+	sim.down = down
+	sim.store.SetFaults(table.Faults{Down: down})
 }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,38 +1,38 @@
 // Package claim decides which attempt of a request with an idempotency key may
 // run, so that the request runs at most once.
 //
-// Every claim on an id goes through the id's home entry. The home makes the
-// claim durable before it grants it: by a conditional insert into the
-// platform's table, many claims in one transaction, or, while the table does
-// not answer, by having the id's second entry record it as well. Both flush
-// such claims to the table when it returns, and a roster change moves an id to
-// another home only after that (see roster.Status).
+// Every claim on an ID goes through the entry that is the ID's primary replica.
+// The primary makes a claim durable before it grants it: by a conditional insert
+// into the platform's table, with many claims per transaction, or, while the table
+// is unavailable, by having the ID's secondary replica record the claim too. Both
+// replicas write such claims to the table when it is available again, and only
+// then does a roster change move an ID to another primary (see roster.Status).
 //
-// A home may grant without the table only for buckets that it has loaded: it
-// then knows every claim made within the retention. A process that has just
-// started has loaded none, so it refuses until the table is back.
+// A primary may grant without the table only in buckets that it has loaded, because
+// there it knows every claim made within the retention period. A process that has
+// just started has loaded none, so it refuses until the table is available.
 //
-// A Holder does no input or output: each method takes the present time and
-// returns the effects to carry out. It is not safe for concurrent use; one
-// goroutine of the adapter owns it and feeds it every message in turn.
+// A Replica does no I/O: each method takes the current time and returns the
+// effects to execute. It is not safe for concurrent use: one goroutine of the
+// adapter owns it and passes it every message in turn.
 //
 // # Usage
 //
-//	holder := claim.New(claim.Config{Self: self, Retention: time.Hour})
-//	effects := holder.RosterChange(now, members, row.Version)
-//	effects = append(effects, holder.Request(now, request)...)
+//	replica := claim.New(claim.Config{Self: self, Retention: time.Hour})
+//	effects := replica.ApplyRoster(now, members, row.Version)
+//	effects = append(effects, replica.Request(now, request)...)
 //	for _, effect := range effects {
 //		switch effect := effect.(type) {
-//		case claim.Commit: // call the table, then holder.TableAnswer
-//		case claim.AskSecond: // send to a peer, which calls holder.Mirror
+//		case claim.Commit: // call the table, then replica.HandleTableResult
+//		case claim.AskSecondary: // send to a peer, which calls replica.Mirror
 //		case claim.Answer: // return to the claimant
 //		}
 //	}
 //
-// A claimant dispatches on an Answer with OutcomeGranted only, and only once
-// for each Token. If it gives up before, it never dispatches for that Token
-// and calls Release; after the run it calls Finish. On OutcomeMoved it gives
-// the Token up and asks the new home under another one.
+// A claimant dispatches only on an Answer with OutcomeGranted, and only once per
+// Token. If it gives up before, it must never dispatch for that Token and calls
+// Release. After the run it calls Finish. On OutcomeMoved it gives up the Token
+// and asks the new primary with another one.
 package claim
 
 import (
@@ -47,43 +47,46 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// Buckets is the number of parts into which ids are divided among the entries.
+// Buckets is the number of hash buckets by which IDs are distributed over the
+// entries.
 const Buckets = 256
 
-// rowPrefix starts the keys of all claim rows.
-const rowPrefix = "claim/"
+// keyPrefix is the prefix of the roster keys and row keys of all claims.
+const keyPrefix = "claim/"
 
-// ID is what a caller repeats to mean the same request.
+// ID identifies a request. A caller that repeats a request sends the same ID.
 type ID struct {
 	Team    string `json:"team"`
 	Service string `json:"service"`
 	Key     string `json:"key"`
 }
 
-// Bucket returns the id's part, in [0, Buckets).
+// Bucket returns the ID's hash bucket, in [0, Buckets).
 func (id ID) Bucket() int {
-	return int(xxhash.Sum64String(id.joined()) % Buckets)
+	return int(xxhash.Sum64String(id.canonical()) % Buckets)
 }
 
-// Hash identifies the id in row keys and dumps without disclosing it.
+// Hash returns a hash that identifies the ID in row keys and dumps without
+// disclosing it.
 func (id ID) Hash() string {
-	sum := sha256.Sum256([]byte(id.joined()))
+	sum := sha256.Sum256([]byte(id.canonical()))
 	return hex.EncodeToString(sum[:])
 }
 
-// RowKey is the id's row in the table.
+// RowKey returns the key of the ID's row in the table.
 func (id ID) RowKey() string {
 	return bucketPrefix(id.Bucket()) + id.Hash()
 }
 
-// joined separates the fields so that no two ids give the same string.
-func (id ID) joined() string {
+// canonical returns a string that is different for different IDs.
+func (id ID) canonical() string {
 	return fmt.Sprintf("%q %q %q", id.Team, id.Service, id.Key)
 }
 
-// BucketKey is the roster key of a bucket; its pair answers for its ids.
+// BucketKey returns the roster key of a bucket. The roster's pair for that key are
+// the replicas of the bucket's IDs.
 func BucketKey(bucket int) string {
-	return fmt.Sprintf("%s%03d", rowPrefix, bucket)
+	return fmt.Sprintf("%s%03d", keyPrefix, bucket)
 }
 
 // BucketKeys returns the roster keys of all buckets, for roster.Prune.
@@ -95,28 +98,30 @@
 	return keys
 }
 
-// bucketPrefix starts the row keys of a bucket.
+// bucketPrefix returns the prefix of a bucket's row keys.
 func bucketPrefix(bucket int) string {
 	return BucketKey(bucket) + "/"
 }
 
-// State is what is known of a claim.
+// State is the state of a claimed attempt, as far as it is known.
 type State string
 
 // States of a claim.
 const (
-	// StateClaimed: the first byte may have gone out.
+	// StateClaimed means that the request may have been dispatched.
 	StateClaimed State = "claimed"
-	// StateNotRun: the claimant proved that no byte went out.
+	// StateNotRun means that the claimant has proved that no byte of the request
+	// was sent.
 	StateNotRun State = "not-run"
-	// StateUnknown: dispatched, and the outcome will not be known.
+	// StateUnknown means that the request was dispatched and its outcome will not
+	// become known.
 	StateUnknown State = "unknown"
-	// StateRan: the endpoint's whole answer arrived.
+	// StateRan means that the endpoint's complete answer was received.
 	StateRan State = "ran"
 )
 
-// rank orders the states of one attempt by how much they say.
-func (s State) rank() int {
+// certainty orders the states of one attempt: a higher one replaces a lower one.
+func (s State) certainty() int {
 	switch s {
 	case StateClaimed:
 		return 1
@@ -131,16 +136,16 @@
 	}
 }
 
-// Token names one attempt of one claimant at one home. Were it presented to two
-// homes, one could withdraw what the other grants.
+// Token identifies one attempt of one claimant at one primary. A token must not be
+// presented to two primaries: one could withdraw the claim that the other grants.
 type Token struct {
 	Claimant roster.Identity `json:"claimant"`
-	Home     roster.Identity `json:"home"`
+	Primary  roster.Identity `json:"home"`
 	Sequence uint64          `json:"sequence"`
 }
 
-// Result is the recorded answer of a run. A body beyond the adapter's bound is
-// left out, and Whole is false.
+// Result is the recorded answer of a run. If the body is larger than the adapter's
+// limit, it is omitted and Whole is false.
 type Result struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header,omitempty"`
@@ -148,8 +153,8 @@
 	Whole  bool                `json:"whole"`
 }
 
-// Record is the value of a claim row. Generation counts the attempts that were
-// claimed after earlier ones were released.
+// Record is the value of a claim row. Generation starts at 1 and grows by one with
+// each attempt that is claimed after the earlier one was released or has expired.
 type Record struct {
 	ID         ID        `json:"id"`
 	Digest     string    `json:"digest"`
@@ -162,8 +167,8 @@
 	Result     *Result   `json:"result,omitempty"`
 }
 
-// Merge returns what both records together say. It is used wherever a record
-// can be held in two places: home, second and table.
+// Merge combines two records of the same ID. It is used wherever a record may
+// exist in two places: the primary, the secondary and the table.
 func Merge(a, b Record) Record {
 	if a.Generation != b.Generation {
 		if a.Generation > b.Generation {
@@ -172,17 +177,17 @@
 		return b
 	}
 	if a.Token == b.Token {
-		if b.State.rank() > a.State.rank() {
+		if b.State.certainty() > a.State.certainty() {
 			return b
 		}
 		return a
 	}
-	return mergeRivals(a, b)
+	return mergeConflicting(a, b)
 }
 
-// mergeRivals merges two attempts of one generation. At most one was granted,
-// and the records alone do not always tell which.
-func mergeRivals(a, b Record) Record {
+// mergeConflicting merges two different attempts of one generation. At most one of
+// them was granted, and the records do not always tell which.
+func mergeConflicting(a, b Record) Record {
 	switch {
 	case a.State == StateRan:
 		return a
@@ -198,17 +203,18 @@
 	return a
 }
 
-// open reports whether a new attempt may be claimed.
-func (r Record) open(now time.Time) bool {
+// claimable reports whether a new attempt may be claimed.
+func (r Record) claimable(now time.Time) bool {
 	return r.Generation == 0 || r.State == StateNotRun || !now.Before(r.Expires)
 }
 
-// same reports whether the record says as much as other.
-func (r Record) same(other Record) bool {
+// equivalent reports whether both records describe the same attempt in the same
+// state.
+func (r Record) equivalent(other Record) bool {
 	return r.Generation == other.Generation && r.Token == other.Token && r.State == other.State
 }
 
-// encode returns the row's value.
+// encode returns the row value of the record.
 func (r Record) encode() []byte {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -217,8 +223,8 @@
 	return value
 }
 
-// decode reads a row's value. A row that does not decode was not written by
-// this package; it counts as an attempt whose outcome is unknown.
+// decode decodes a row value. A malformed value was not written by this package;
+// it counts as an attempt whose outcome is unknown.
 func decode(id ID, value []byte, expires time.Time) Record {
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil || record.Generation == 0 {
--- a/internal/claim/dump.go
+++ b/internal/claim/dump.go
@@ -4,63 +4,63 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// Snapshot is the state of a Holder for the dump. Ids are hashed.
+// Snapshot is the state of a Replica for the dump. IDs are hashed.
 type Snapshot struct {
-	Self          roster.Identity `json:"self"`
-	RosterVersion uint64          `json:"roster-version"`
-	Acknowledged  uint64          `json:"acknowledged"`
-	TableUp       bool            `json:"table-up"`
-	Claims        int             `json:"claims"`
-	Unwritten     int             `json:"unwritten"`
-	HomeBuckets   int             `json:"home-buckets"`
-	LoadedBuckets int             `json:"loaded-buckets"`
-	WaitingBucket int             `json:"waiting-buckets"`
-	LostBuckets   int             `json:"lost-buckets"`
-	Pending       []SnapshotClaim `json:"pending,omitempty"`
+	Self           roster.Identity `json:"self"`
+	RosterVersion  uint64          `json:"roster-version"`
+	Acknowledged   uint64          `json:"acknowledged"`
+	TableUp        bool            `json:"table-up"`
+	Claims         int             `json:"claims"`
+	Unpersisted    int             `json:"unwritten"`
+	PrimaryBuckets int             `json:"home-buckets"`
+	LoadedBuckets  int             `json:"loaded-buckets"`
+	WaitingBuckets int             `json:"waiting-buckets"`
+	LostBuckets    int             `json:"lost-buckets"`
+	Pending        []SnapshotClaim `json:"pending,omitempty"`
 }
 
-// SnapshotClaim is one claim that the table may not have yet.
+// SnapshotClaim is a claim that may not be in the table yet.
 type SnapshotClaim struct {
-	IDHash string `json:"id-hash"`
-	State  State  `json:"state"`
-	Owed   uint64 `json:"owed-version,omitempty"`
+	IDHash             string `json:"id-hash"`
+	State              State  `json:"state"`
+	UnpersistedVersion uint64 `json:"owed-version,omitempty"`
 }
 
-// maxSnapshotClaims bounds the claims that a dump lists.
+// maxSnapshotClaims is the maximum number of claims listed in a dump.
 const maxSnapshotClaims = 100
 
-// Snapshot returns the present state.
-func (h *Holder) Snapshot() Snapshot {
-	unwritten := h.unwritten()
+// Snapshot returns the current state.
+func (r *Replica) Snapshot() Snapshot {
+	unpersisted := r.unpersistedEntries()
 	s := Snapshot{
-		Self:          h.config.Self,
-		RosterVersion: h.roster.Version,
-		Acknowledged:  h.acked,
-		TableUp:       h.tableUp,
-		Claims:        h.count,
-		Unwritten:     len(unwritten),
+		Self:          r.config.Self,
+		RosterVersion: r.roster.Version,
+		Acknowledged:  r.ackedVersion,
+		TableUp:       r.tableUp,
+		Claims:        r.entryCount,
+		Unpersisted:   len(unpersisted),
 	}
-	for _, b := range h.buckets {
+	for _, b := range r.buckets {
 		s.countBucket(b)
 	}
-	for _, e := range unwritten[:min(len(unwritten), maxSnapshotClaims)] {
-		s.Pending = append(s.Pending, SnapshotClaim{IDHash: e.id.Hash(), State: e.record.State, Owed: e.owed})
+	for _, e := range unpersisted[:min(len(unpersisted), maxSnapshotClaims)] {
+		s.Pending = append(s.Pending, SnapshotClaim{IDHash: e.id.Hash(), State: e.record.State, UnpersistedVersion: e.unpersistedVersion})
 	}
 	return s
 }
 
-// countBucket adds a bucket to the counts.
+// countBucket adds a bucket to the counts if this process is its primary.
 func (s *Snapshot) countBucket(b *bucket) {
-	if b.home.Identity != s.Self {
+	if b.primary.Identity != s.Self {
 		return
 	}
-	s.HomeBuckets++
+	s.PrimaryBuckets++
 	if b.loaded {
 		s.LoadedBuckets++
 	}
 	switch b.standing {
 	case roster.Waiting:
-		s.WaitingBucket++
+		s.WaitingBuckets++
 	case roster.Lost:
 		s.LostBuckets++
 	}
--- a/internal/claim/membership.go
+++ b/internal/claim/membership.go
@@ -6,221 +6,226 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// RosterChange takes the roster row as read from the table, or as heard from a
-// peer together with its row version. An older one is ignored.
-func (h *Holder) RosterChange(now time.Time, next roster.Roster, rowVersion uint64) []Effect {
-	if next.Version < h.roster.Version || rowVersion < h.rowVersion {
-		return h.flush(now)
-	}
-	h.stale = false
-	if rowVersion == h.rowVersion {
-		return h.flush(now)
-	}
-	changed := next.Version > h.roster.Version
-	successive := next.Version == h.roster.Version+1
-	h.roster = next
-	h.rowVersion = rowVersion
+// ApplyRoster applies a roster read from the table, or received from a peer
+// together with its row version. An older one is ignored.
+func (r *Replica) ApplyRoster(now time.Time, next roster.Roster, rowVersion uint64) []Effect {
+	if next.Version < r.roster.Version || rowVersion < r.rosterRowVersion {
+		return r.flush(now)
+	}
+	r.rosterStale = false
+	if rowVersion == r.rosterRowVersion {
+		return r.flush(now)
+	}
+	changed := next.Version > r.roster.Version
+	successive := next.Version == r.roster.Version+1
+	r.roster = next
+	r.rosterRowVersion = rowVersion
 	if changed {
-		h.assign(successive)
+		r.assignBuckets(successive)
 	}
-	h.assess()
+	r.updateStandings()
 	if changed {
-		h.reroute(now)
+		r.reroute(now)
 	}
-	return h.flush(now)
+	return r.flush(now)
 }
 
-// assign sets the buckets' pairs. A bucket stays loaded only if this process
-// was its home without a gap.
-func (h *Holder) assign(successive bool) {
-	for _, b := range h.buckets {
-		was := b.home.Identity == h.config.Self
-		b.home, b.second = h.roster.Pair(b.key)
-		is := b.home.Identity == h.config.Self
-		b.loaded = b.loaded && was && is && successive
+// assignBuckets sets the replicas of all buckets. A bucket stays loaded only if
+// this process was its primary without interruption.
+func (r *Replica) assignBuckets(successive bool) {
+	for _, b := range r.buckets {
+		wasPrimary := b.primary.Identity == r.config.Self
+		b.primary, b.secondary = r.roster.Pair(b.key)
+		isPrimary := b.primary.Identity == r.config.Self
+		b.loaded = b.loaded && wasPrimary && isPrimary && successive
 		b.loading = false
-		b.retryAt = time.Time{}
-		if is {
+		b.nextLoadAt = time.Time{}
+		if isPrimary {
 			continue
 		}
 		for _, e := range b.entries {
-			h.drop(e)
+			r.dropIfEmpty(e)
 		}
 	}
 }
 
-// assess sets the standings of this home's buckets. What this process granted itself it
-// knows, so its own acknowledgement needs no row.
-func (h *Holder) assess() {
-	h.acks[h.config.Self] = h.roster.Version
-	for _, b := range h.buckets {
+// updateStandings updates the standings of the buckets of which this process is the
+// primary. This process knows the claims it granted itself, so its own
+// acknowledgement needs no row.
+func (r *Replica) updateStandings() {
+	r.acks[r.config.Self] = r.roster.Version
+	for _, b := range r.buckets {
 		b.standing = roster.Waiting
-		if b.home.Identity == h.config.Self {
-			b.standing, b.lostAt = h.roster.Status(b.key, h.acks)
+		if b.primary.Identity == r.config.Self {
+			b.standing, b.lostAt = r.roster.Status(b.key, r.acks)
 		}
 	}
 }
 
-// reroute sends pending claims to their new home or second.
-func (h *Holder) reroute(now time.Time) {
-	for _, e := range h.waiting() {
+// reroute answers or refuses pending claims that this process can no longer grant,
+// and asks the new secondary about the others if the table is down.
+func (r *Replica) reroute(now time.Time) {
+	for _, e := range r.pendingEntries() {
 		p := e.pending
-		p.askedAt = time.Time{}
+		p.secondaryAskedAt = time.Time{}
 		answer := Answer{Token: p.record.Token, Record: Record{ID: e.id}}
-		if e.bucket.home.Identity != h.config.Self {
+		if e.bucket.primary.Identity != r.config.Self {
 			e.pending = nil
 			answer.Outcome = OutcomeMoved
-			h.answer(answer)
-			h.drop(e)
+			r.sendAnswer(answer)
+			r.dropIfEmpty(e)
 			continue
 		}
-		if reason := h.obstacle(now, e.bucket, e.id); reason != ReasonNone {
-			h.withdraw(e)
-			h.refuse(now, e.bucket, answer, reason)
+		if reason := r.refusalReason(now, e.bucket, e.id); reason != ReasonNone {
+			r.withdraw(e)
+			r.refuse(now, e.bucket, answer, reason)
 			continue
 		}
-		if !h.tableUp {
-			h.askSecond(now, e)
+		if !r.tableUp {
+			r.askSecondary(now, e)
 		}
 	}
 }
 
-// Tick does what is due: timeouts, probes of the table, loads of buckets,
-// acknowledgements of the roster, removal of expired claims.
-func (h *Holder) Tick(now time.Time) []Effect {
-	h.expireWaits(now)
-	if !now.Before(h.nextPoll) {
-		h.nextPoll = now.Add(h.config.ProbeInterval)
-		h.poll()
-	}
-	if h.tableUp {
-		h.load(now)
-	}
-	if !now.Before(h.nextSweep) {
-		h.nextSweep = now.Add(h.config.Skew)
-		h.sweep(now)
-	}
-	return h.flush(now)
+// Tick performs the timed work that is due: timeouts, table probes, bucket loads,
+// roster acknowledgements and the removal of expired claims.
+func (r *Replica) Tick(now time.Time) []Effect {
+	r.expirePending(now)
+	if !now.Before(r.nextPoll) {
+		r.nextPoll = now.Add(r.config.ProbeInterval)
+		r.poll()
+	}
+	if r.tableUp {
+		r.loadBuckets(now)
+	}
+	if !now.Before(r.nextExpiry) {
+		r.nextExpiry = now.Add(r.config.MaxClockSkew)
+		r.expireClaims(now)
+	}
+	return r.flush(now)
 }
 
-// expireWaits acts on claims that wait for the table or the second too long.
-func (h *Holder) expireWaits(now time.Time) {
-	for _, e := range h.waiting() {
+// expirePending handles pending claims that have waited too long for the table or
+// the secondary.
+func (r *Replica) expirePending(now time.Time) {
+	for _, e := range r.pendingEntries() {
 		p := e.pending
-		slow := now.Sub(p.since) >= h.config.SlowTable
-		if p.askedAt.IsZero() && (slow || !h.tableUp) {
-			h.askSecond(now, e)
+		slow := now.Sub(p.createdAt) >= r.config.TableTimeout
+		if p.secondaryAskedAt.IsZero() && (slow || !r.tableUp) {
+			r.askSecondary(now, e)
 			continue
 		}
-		if !p.askedAt.IsZero() && now.Sub(p.askedAt) >= h.config.ConfirmTimeout {
-			h.giveUp(now, e, ReasonSecondMissing)
+		if !p.secondaryAskedAt.IsZero() && now.Sub(p.secondaryAskedAt) >= r.config.ConfirmTimeout {
+			r.refusePending(now, e, ReasonSecondaryMissing)
 		}
 	}
 }
 
-// poll probes a table that was down, acknowledges the roster version, and
-// reads the others' acknowledgements while a bucket waits for them.
-func (h *Holder) poll() {
-	if !h.tableUp && !h.probing {
-		h.probing = true
-		h.emit(Get{Call: h.open(call{kind: callProbe}), Keys: []string{roster.Key}})
-	}
-	if !h.tableUp {
+// poll probes the table if it was down, acknowledges the roster version, and reads
+// the other entries' acknowledgements while a bucket waits for them.
+func (r *Replica) poll() {
+	if !r.tableUp && !r.probing {
+		r.probing = true
+		r.emit(Get{Call: r.openCall(call{kind: callProbe}), Keys: []string{roster.Key}})
+	}
+	if !r.tableUp {
 		return
 	}
-	h.acknowledge()
-	if h.waits() && !h.polling {
-		h.polling = true
-		h.emit(Scan{Call: h.open(call{kind: callPoll}), Prefix: roster.AckPrefix})
+	r.acknowledge()
+	if r.hasWaitingBucket() && !r.readingAcks {
+		r.readingAcks = true
+		r.emit(Scan{Call: r.openCall(call{kind: callReadAcks}), Prefix: roster.AckPrefix})
 	}
 }
 
-// waits reports whether a bucket of this home waits for others.
-func (h *Holder) waits() bool {
-	for _, b := range h.buckets {
-		if b.home.Identity == h.config.Self && b.standing == roster.Waiting {
+// hasWaitingBucket reports whether a bucket of which this process is the primary
+// waits for acknowledgements.
+func (r *Replica) hasWaitingBucket() bool {
+	for _, b := range r.buckets {
+		if b.primary.Identity == r.config.Self && b.standing == roster.Waiting {
 			return true
 		}
 	}
 	return false
 }
 
-// load reads the claims of buckets that were assigned to this home. It starts
-// after the bucket is settled, so that it sees all that former homes granted.
-func (h *Holder) load(now time.Time) {
-	for _, b := range h.buckets {
-		if h.scans >= h.config.MaxScans {
+// loadBuckets reads the claims of buckets newly assigned to this primary. A bucket
+// is read only after the former replicas have acknowledged the roster, so that the
+// rows include all claims that former primaries granted.
+func (r *Replica) loadBuckets(now time.Time) {
+	for _, b := range r.buckets {
+		if r.activeScans >= r.config.MaxScans {
 			return
 		}
-		if h.loadable(now, b) {
+		if r.loadable(now, b) {
 			b.loading = true
-			h.scans++
-			h.emit(Scan{Call: h.open(call{kind: callLoad, bucket: b}), Prefix: bucketPrefix(b.number)})
+			r.activeScans++
+			r.emit(Scan{Call: r.openCall(call{kind: callLoad, bucket: b}), Prefix: bucketPrefix(b.number)})
 		}
 	}
 }
 
 // loadable reports whether the bucket can be loaded now.
-func (h *Holder) loadable(now time.Time, b *bucket) bool {
-	return b.home.Identity == h.config.Self &&
+func (r *Replica) loadable(now time.Time, b *bucket) bool {
+	return b.primary.Identity == r.config.Self &&
 		!b.loaded &&
 		!b.loading &&
 		b.standing != roster.Waiting &&
-		!now.Before(b.retryAt)
+		!now.Before(b.nextLoadAt)
 }
 
-// loadAnswered merges a loaded bucket. Rows read under a former roster version
-// do not count: another home may have inserted since.
-func (h *Holder) loadAnswered(now time.Time, c call, answer TableAnswer) {
-	h.scans--
+// handleLoadResult merges the rows of a loaded bucket. Rows read at a former roster
+// version are discarded: another primary may have inserted claims since.
+func (r *Replica) handleLoadResult(now time.Time, c call, answer TableResult) {
+	r.activeScans--
 	b := c.bucket
-	if c.version != h.roster.Version {
+	if c.version != r.roster.Version {
 		return
 	}
 	b.loading = false
-	b.retryAt = now.Add(h.config.ProbeInterval)
+	b.nextLoadAt = now.Add(r.config.ProbeInterval)
 	if answer.Err != nil {
-		h.tableDown(now)
+		r.handleTableDown(now)
 		return
 	}
 	for _, row := range answer.Rows {
-		if !h.loadRow(now, b, row.Key, row.Value, row.Version) {
-			b.retryAt = now.Add(h.config.Retention)
-			h.unload(b)
+		if !r.loadRow(now, b, row.Key, row.Value, row.Version) {
+			b.nextLoadAt = now.Add(r.config.Retention)
+			r.unload(b)
 			return
 		}
 	}
 	b.loaded = true
 }
 
-// loadRow merges one row; false if memory is full.
-func (h *Holder) loadRow(now time.Time, b *bucket, key string, value []byte, version uint64) bool {
-	record := decode(ID{}, value, now.Add(h.config.Retention))
+// loadRow merges one row. It returns false if the limit of entries is reached.
+func (r *Replica) loadRow(now time.Time, b *bucket, key string, value []byte, version uint64) bool {
+	record := decode(ID{}, value, now.Add(r.config.Retention))
 	if record.ID.RowKey() != key {
 		return true
 	}
 	e := b.entries[record.ID]
 	if e == nil {
-		e = h.create(b, record.ID)
+		e = r.createEntry(b, record.ID)
 	}
 	if e == nil {
 		return false
 	}
 	wasDirty := e.dirty
-	e.absorb(record, version)
+	e.mergeRow(record, version)
 	if e.dirty && !wasDirty {
-		h.enqueue(e)
+		r.enqueue(e)
 	}
 	return true
 }
 
-// sweep has expired claims removed from the table.
-func (h *Holder) sweep(now time.Time) {
-	for _, b := range h.buckets {
+// expireClaims queues the removal of expired claims from the table.
+func (r *Replica) expireClaims(now time.Time) {
+	for _, b := range r.buckets {
 		for _, e := range b.entries {
-			if e.idle() && h.expired(now, e.record) {
+			if e.idle() && r.expired(now, e.record) {
 				e.dirty = true
-				h.enqueue(e)
+				r.enqueue(e)
 			}
 		}
 	}
--- a/internal/claim/message.go
+++ b/internal/claim/message.go
@@ -7,9 +7,9 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Request asks for the right to dispatch. Version is the claimant's roster
-// version, Digest identifies the request's content, and RunLimit is the
-// service's longest run time.
+// Request requests permission to dispatch an attempt. Version is the claimant's
+// roster version, Digest identifies the request's content, and RunLimit is the
+// service's maximum run time.
 type Request struct {
 	ID       ID            `json:"id"`
 	Digest   string        `json:"digest"`
@@ -18,70 +18,74 @@
 	RunLimit time.Duration `json:"run-limit"`
 }
 
-// Outcome is what a claimant is told.
+// Outcome is the outcome of a Request.
 type Outcome string
 
 // Outcomes of a Request.
 const (
-	// OutcomeGranted: dispatch now, once.
+	// OutcomeGranted means that the claimant may dispatch now, once.
 	OutcomeGranted Outcome = "granted"
-	// OutcomeRan: an earlier attempt ran; the record holds its result.
+	// OutcomeRan means that an earlier attempt ran. The record holds its result.
 	OutcomeRan Outcome = "ran"
-	// OutcomeRunning: an earlier attempt is under way.
+	// OutcomeRunning means that an earlier attempt may still be running.
 	OutcomeRunning Outcome = "running"
-	// OutcomeUnknown: whether an attempt was dispatched is not known.
+	// OutcomeUnknown means that it is unknown whether an attempt was dispatched.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeNotRun: refused, and no attempt was ever dispatched.
+	// OutcomeNotRun means that the claim was refused and no attempt has been
+	// dispatched.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeConflict: the key was used with other content.
+	// OutcomeConflict means that the key was used with different content.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeMoved: the id has another home at roster version Version.
+	// OutcomeMoved means that the ID has another primary at roster version Version.
 	OutcomeMoved Outcome = "moved"
 )
 
-// Reason says why a claim was refused.
+// Reason is the reason why a claim was refused.
 type Reason string
 
-// Reasons of a refusal.
+// Reasons for refusing a claim.
 const (
-	ReasonNone          Reason = ""
-	ReasonNotSynced     Reason = "not-synced"
-	ReasonSecondMissing Reason = "second-missing"
-	ReasonFull          Reason = "claims-full"
-	ReasonHoldersLost   Reason = "holders-lost"
+	ReasonNone             Reason = ""
+	ReasonNotSynced        Reason = "not-synced"
+	ReasonSecondaryMissing Reason = "second-missing"
+	ReasonFull             Reason = "claims-full"
+	ReasonReplicasLost     Reason = "holders-lost"
 )
 
-// Effect is one of Commit, Get, Scan, AskSecond, Confirm, Answer, StaleRoster.
+// Effect is an operation that the adapter executes for a Replica. It is one of
+// Commit, Get, Scan, AskSecondary, Confirm, Answer and StaleRoster.
 type Effect interface{ effect() }
 
-// Commit asks for a table transaction. Every call gets one TableAnswer; a
-// timeout is ErrUnknown for a commit and ErrUnavailable for the others.
+// Commit requests a table transaction. Each table call must be answered with one
+// TableResult. A timeout counts as table.ErrUnknown for a Commit and as
+// table.ErrUnavailable for a Get or Scan.
 type Commit struct {
 	Call uint64
 	Txn  table.Txn
 }
 
-// Get asks for rows.
+// Get requests rows of the table by key.
 type Get struct {
 	Call uint64
 	Keys []string
 }
 
-// Scan asks for the rows of a prefix.
+// Scan requests the rows of the table whose keys have a prefix.
 type Scan struct {
 	Call   uint64
 	Prefix string
 }
 
-// AskSecond asks the peer To to record a claim too.
-type AskSecond struct {
+// AskSecondary asks the peer To, which is the secondary, to record a claim too.
+type AskSecondary struct {
 	To      roster.Member   `json:"to"`
 	From    roster.Identity `json:"from"`
 	Version uint64          `json:"version"`
 	Record  Record          `json:"record"`
 }
 
-// Confirm answers an AskSecond. If Recorded is false, the peer holds Version.
+// Confirm answers an AskSecondary. Version is the roster version of the secondary.
+// Recorded is false if it did not record the claim.
 type Confirm struct {
 	To       roster.Identity `json:"to"`
 	From     roster.Identity `json:"from"`
@@ -90,7 +94,7 @@
 	Recorded bool            `json:"recorded"`
 }
 
-// Answer goes to the claimant of Token. RetryAt is when asking again may help.
+// Answer is sent to the claimant of Token. RetryAt is when a retry may succeed.
 type Answer struct {
 	Token   Token     `json:"token"`
 	Outcome Outcome   `json:"outcome"`
@@ -100,19 +104,19 @@
 	RetryAt time.Time `json:"retry-at"`
 }
 
-// StaleRoster asks the adapter to read the roster row again.
+// StaleRoster asks the adapter to reread the roster row.
 type StaleRoster struct{}
 
-func (Commit) effect()      {}
-func (Get) effect()         {}
-func (Scan) effect()        {}
-func (AskSecond) effect()   {}
-func (Confirm) effect()     {}
-func (Answer) effect()      {}
-func (StaleRoster) effect() {}
+func (Commit) effect()       {}
+func (Get) effect()          {}
+func (Scan) effect()         {}
+func (AskSecondary) effect() {}
+func (Confirm) effect()      {}
+func (Answer) effect()       {}
+func (StaleRoster) effect()  {}
 
-// TableAnswer is the result of a table call.
-type TableAnswer struct {
+// TableResult is the result of a Commit, Get or Scan effect.
+type TableResult struct {
 	Call uint64
 	Rows []table.Row
 	Err  error
--- a/internal/claim/poll.go
+++ b/internal/claim/poll.go
@@ -7,82 +7,84 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// tableDown turns to the seconds until a probe succeeds.
-func (h *Holder) tableDown(now time.Time) {
-	if !h.tableUp {
+// handleTableDown marks the table as down and asks the secondaries to record the
+// pending claims. They are used until a table call succeeds.
+func (r *Replica) handleTableDown(now time.Time) {
+	if !r.tableUp {
 		return
 	}
-	h.tableUp = false
-	h.withoutTable(now)
+	r.tableUp = false
+	r.askSecondaries(now)
 }
 
-// acknowledge writes this process's acknowledgement once nothing that it
-// granted or mirrored under former versions is missing from the table.
-func (h *Holder) acknowledge() {
-	if h.acking || h.acked >= h.roster.Version || !h.roster.Contains(h.config.Self) {
+// acknowledge writes this process's acknowledgement of the roster version once all
+// claims that it granted or mirrored at former versions are in the table.
+func (r *Replica) acknowledge() {
+	if r.acking || r.ackedVersion >= r.roster.Version || !r.roster.Contains(r.config.Self) {
 		return
 	}
-	for _, e := range h.unwritten() {
-		if e.owed != 0 && e.owed < h.roster.Version {
+	for _, e := range r.unpersistedEntries() {
+		if e.unpersistedVersion != 0 && e.unpersistedVersion < r.roster.Version {
 			return
 		}
 	}
-	h.acking = true
-	ack := roster.Ack{Identity: h.config.Self, Version: h.roster.Version}
-	h.emit(Commit{
-		Call: h.open(call{kind: callAck}),
-		Txn:  table.Txn{Writes: []table.Write{{Key: roster.AckKey(h.config.Self), Value: ack.Encode()}}},
+	r.acking = true
+	ack := roster.Ack{Identity: r.config.Self, Version: r.roster.Version}
+	r.emit(Commit{
+		Call: r.openCall(call{kind: callAck}),
+		Txn:  table.Txn{Writes: []table.Write{{Key: roster.AckKey(r.config.Self), Value: ack.Encode()}}},
 	})
 }
 
-// pollAnswered takes the results of probes, acknowledgements and their reads.
-func (h *Holder) pollAnswered(c call, answer TableAnswer) {
+// handlePollResult handles the results of the calls made by poll.
+func (r *Replica) handlePollResult(c call, answer TableResult) {
 	switch c.kind {
 	case callProbe:
-		h.probing = false
-		h.probed(answer)
+		r.probing = false
+		r.handleProbe(answer)
 	case callAck:
-		h.acking = false
+		r.acking = false
 		if answer.Err == nil {
-			h.acked = max(h.acked, c.version)
+			r.ackedVersion = max(r.ackedVersion, c.version)
 		}
-	case callPoll:
-		h.polling = false
-		h.acksRead(answer)
+	case callReadAcks:
+		r.readingAcks = false
+		r.handleAcks(answer)
 	}
 }
 
-// probed compares the roster row with the one in use.
-func (h *Holder) probed(answer TableAnswer) {
+// handleProbe requests a reread of the roster if its row has changed.
+func (r *Replica) handleProbe(answer TableResult) {
 	if answer.Err != nil || len(answer.Rows) != 1 {
 		return
 	}
-	if answer.Rows[0].Version != h.rowVersion {
-		h.emit(StaleRoster{})
+	if answer.Rows[0].Version != r.rosterRowVersion {
+		r.emit(StaleRoster{})
 	}
 }
 
-// acksRead takes the others' acknowledgements.
-func (h *Holder) acksRead(answer TableAnswer) {
+// handleAcks records the acknowledgements of all entries.
+func (r *Replica) handleAcks(answer TableResult) {
 	if answer.Err != nil {
 		return
 	}
-	own := roster.AckKey(h.config.Self)
+	own := roster.AckKey(r.config.Self)
 	for _, row := range answer.Rows {
-		// A row that does not decode acknowledges nothing.
-		_ = h.acks.Add(row.Value)
+		// A row that cannot be decoded acknowledges nothing.
+		_ = r.acks.Add(row.Value)
 		if row.Key == own {
-			h.checkOwn(row.Value)
+			r.checkOwnAck(row.Value)
 		}
 	}
-	h.assess()
+	r.updateStandings()
 }
 
-// checkOwn has the acknowledgement written again if an older commit overtook it.
-func (h *Holder) checkOwn(value []byte) {
+// checkOwnAck makes the acknowledgement be rewritten if a delayed older commit has
+// overwritten it.
+func (r *Replica) checkOwnAck(value []byte) {
 	own := make(roster.Acks)
 	if err := own.Add(value); err != nil {
 		return
 	}
-	h.acked = min(h.acked, own[h.config.Self])
+	r.ackedVersion = min(r.ackedVersion, own[r.config.Self])
 }
--- a/internal/claim/recovery_test.go
+++ b/internal/claim/recovery_test.go
@@ -8,65 +8,65 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// recover lets time pass until every id is granted again, and returns how long
-// the slowest one took. Roster and clock are looked at every 100 ms.
-func (w *world) recover() time.Duration {
+// timeToRecover advances the time until every new ID is granted, and returns how
+// long that took. Processes refresh their roster and tick every 100 ms.
+func (sim *simulation) timeToRecover() time.Duration {
 	const interval = 100 * time.Millisecond
-	began := w.now
+	started := sim.now
 	for range 100 {
-		w.now = w.now.Add(interval)
-		refused := w.counts["answer-unknown"] + w.counts["answer-not-run"] + w.counts["answer-moved"]
-		for _, p := range w.procs {
-			w.refresh(p)
-			w.carry(p, p.holder.Tick(w.now))
+		sim.now = sim.now.Add(interval)
+		refused := sim.counts["answer-unknown"] + sim.counts["answer-not-run"] + sim.counts["answer-moved"]
+		for _, p := range sim.processes {
+			sim.refresh(p)
+			sim.execute(p, p.replica.Tick(sim.now))
 		}
-		w.drain()
+		sim.deliverAll()
 		for range 100 {
-			w.ids = append(w.ids, claim.ID{Team: "t", Service: "s", Key: uuid(w.now, len(w.ids))})
-			w.submit(w.any(), w.ids[len(w.ids)-1])
+			sim.ids = append(sim.ids, claim.ID{Team: "t", Service: "s", Key: uuid(sim.now, len(sim.ids))})
+			sim.submit(sim.anyProcess(), sim.ids[len(sim.ids)-1])
 		}
-		w.drain()
-		if w.counts["answer-unknown"]+w.counts["answer-not-run"]+w.counts["answer-moved"] == refused {
-			return w.now.Sub(began)
+		sim.deliverAll()
+		if sim.counts["answer-unknown"]+sim.counts["answer-not-run"]+sim.counts["answer-moved"] == refused {
+			return sim.now.Sub(started)
 		}
 	}
-	return w.now.Sub(began)
+	return sim.now.Sub(started)
 }
 
-// The ids of an entry that ended are served again soon after the roster shows
-// it, in virtual time with a table that answers at once.
+// TestRecovery checks that all IDs are granted again soon after a roster change or
+// a table outage, in virtual time with a table without latency.
 func TestRecovery(t *testing.T) {
 	const limit = 1500 * time.Millisecond
-	tests := map[string]func(w *world){
-		"crash and restart": func(w *world) {
-			w.procs[0].alive = false
-			w.join(w.boot(w.procs[0].self.Name, 2))
+	tests := map[string]func(sim *simulation){
+		"crash and restart": func(sim *simulation) {
+			sim.processes[0].alive = false
+			sim.join(sim.startProcess(sim.processes[0].self.Name, 2))
 		},
-		"crash and removal": func(w *world) {
-			gone := w.procs[0].self
-			w.procs = w.procs[1:]
-			w.change(func(r roster.Roster) (roster.Roster, bool) {
-				return roster.Remove(r, gone, roster.EvidenceHostGone, w.now)
+		"crash and removal": func(sim *simulation) {
+			gone := sim.processes[0].self
+			sim.processes = sim.processes[1:]
+			sim.changeRoster(func(r roster.Roster) (roster.Roster, bool) {
+				return roster.Remove(r, gone, roster.EvidenceHostGone, sim.now)
 			})
 		},
-		"planned leave": func(w *world) {
-			w.change(func(r roster.Roster) (roster.Roster, bool) { return roster.Leave(r, w.procs[0].self) })
+		"planned leave": func(sim *simulation) {
+			sim.changeRoster(func(r roster.Roster) (roster.Roster, bool) { return roster.Leave(r, sim.processes[0].self) })
 		},
-		"join":               func(w *world) { w.join(w.procs[3]) },
-		"outage that begins": func(w *world) { w.setDown(true) },
-		"outage that ends": func(w *world) {
-			w.setDown(true)
-			w.recover()
-			w.setDown(false)
+		"join":               func(sim *simulation) { sim.join(sim.processes[3]) },
+		"outage that begins": func(sim *simulation) { sim.setDown(true) },
+		"outage that ends": func(sim *simulation) {
+			sim.setDown(true)
+			sim.timeToRecover()
+			sim.setDown(false)
 		},
 	}
-	for name, disturb := range tests {
+	for name, injectFault := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(seeded(1), rules{})
-			w.prune()
-			w.settle()
-			disturb(w)
-			got := w.recover()
+			sim := newSimulation(seededChooser(1), mutations{})
+			sim.prune()
+			sim.stabilize()
+			injectFault(sim)
+			got := sim.timeToRecover()
 			t.Logf("%s: all ids granted after %v", name, got)
 			if got > limit {
 				t.Errorf("got %v, want at most %v", got, limit)
--- a/internal/claim/fresh.go
+++ b/internal/claim/uuid.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// uuidLength is the length of a UUID in its usual form.
+// uuidLength is the length of a UUID in its canonical text form.
 const uuidLength = 36
 
-// createdAt returns the time within an idempotency key that is a UUIDv7.
-func createdAt(key string) (at time.Time, ok bool) {
+// uuidTime returns the timestamp of an idempotency key that is a UUIDv7.
+func uuidTime(key string) (at time.Time, ok bool) {
 	if len(key) != uuidLength || key[14] != '7' {
 		return time.Time{}, false
 	}
@@ -29,9 +29,9 @@
 	return time.UnixMilli(int64(milliseconds)), true
 }
 
-// freshSince reports whether the key proves that it was made after the loss. A
-// time ahead of now proves nothing.
-func freshSince(key string, loss, now time.Time, skew time.Duration) bool {
-	at, ok := createdAt(key)
+// createdAfter reports whether the key proves that it was created after the loss.
+// A timestamp in the future proves nothing.
+func createdAfter(key string, loss, now time.Time, skew time.Duration) bool {
+	at, ok := uuidTime(key)
 	return ok && at.After(loss.Add(skew)) && !at.After(now.Add(skew))
 }
