--- a/internal/task/election.go
+++ b/internal/task/election.go
@@ -48,9 +48,9 @@
 	return []string{"fence/task/" + e.cfg.Shard, "beat/task/" + e.cfg.Shard}
 }
 
-// ResetHeartbeat restarts the heartbeat timeout. It is called when the rows could
+// ResetTimeout restarts the heartbeat timeout. It is called when the rows could
 // not be read.
-func (e *Election) ResetHeartbeat() {
+func (e *Election) ResetTimeout() {
 	e.unchangedSince = time.Time{}
 }
 
--- a/internal/task/faults_test.go
+++ b/internal/task/faults_test.go
@@ -19,7 +19,7 @@
 // injectEvent makes one random event happen.
 func (sim *simulation) injectEvent() {
 	event := sim.choose.intN("event", 40)
-	n := sim.workers[sim.choose.intN("worker", len(sim.workers))]
+	w := sim.workers[sim.choose.intN("worker", len(sim.workers))]
 	switch {
 	case event < 6:
 		sim.submit()
@@ -31,7 +31,7 @@
 		sim.faults["cancel"]++
 		sim.current().controller.Cancel(sim.now, sim.request, queue, spec.ID)
 	case event < 14:
-		sim.finishOne(n)
+		sim.finishOne(w)
 	case event == 14:
 		sim.faults["manager race"]++
 		sim.takeOver()
@@ -40,27 +40,27 @@
 		m.paused = !m.paused
 		sim.faults["manager pause"]++
 	case event == 16:
-		sim.crash(n)
+		sim.crash(w)
 	case event == 17:
-		n.silent = !n.silent
+		w.silent = !w.silent
 		sim.faults["worker pause"]++
 	case event == 18:
 		sim.down = !sim.down
 		sim.store.SetFaults(table.Faults{Down: sim.down})
 		sim.faults["table outage"]++
 	case event == 19:
-		sim.replace(n)
+		sim.replace(w)
 	case event == 20:
-		n.failsTasks = !n.failsTasks
+		w.failsTasks = !w.failsTasks
 	case event < 25:
 		sim.deliverDelayed()
 	case event == 25:
 		sim.faults["long wait"]++
 		sim.now = sim.now.Add(40 * time.Second)
 	case event == 26:
-		sim.lapseLeases(n)
+		sim.lapseLeases(w)
 	case event == 27:
-		sim.current().controller.Leave(sim.now, n.name, true)
+		sim.current().controller.Leave(sim.now, w.name, true)
 	}
 	sim.now = sim.now.Add(time.Duration(sim.choose.intN("wait", 500)) * time.Millisecond)
 }
@@ -79,18 +79,18 @@
 }
 
 // finishOne ends the first run on the worker.
-func (sim *simulation) finishOne(n *simWorker) {
-	for _, id := range sortedKeys(n.starts) {
-		if n.starts[id].state == task.AnswerRunning && n.alive {
-			sim.finish(n, id, sim.choose.intN("run fails", 5) > 0)
+func (sim *simulation) finishOne(w *simWorker) {
+	for _, id := range sortedKeys(w.starts) {
+		if w.starts[id].state == task.AnswerRunning && w.alive {
+			sim.finish(w, id, sim.choose.intN("run fails", 5) > 0)
 			return
 		}
 	}
 }
 
 // lapseLeases makes all leases on the worker lapse.
-func (sim *simulation) lapseLeases(n *simWorker) {
-	for _, s := range n.starts {
+func (sim *simulation) lapseLeases(w *simWorker) {
+	for _, s := range w.starts {
 		if s.state == task.AnswerRunning {
 			sim.faults["lease lapse"]++
 			s.state = task.AnswerLapsed
@@ -99,23 +99,23 @@
 }
 
 // crash restarts the worker's process, which loses all its runs.
-func (sim *simulation) crash(n *simWorker) {
-	if !n.alive || sim.noWorkerLoss {
+func (sim *simulation) crash(w *simWorker) {
+	if !w.alive || sim.noWorkerLoss {
 		return
 	}
 	sim.faults["worker crash"]++
-	n.incarnation++
-	n.starts = map[string]*simStart{}
-	n.silent = false
+	w.incarnation++
+	w.starts = map[string]*simStart{}
+	w.silent = false
 }
 
 // replace removes the worker's host and adds one with another name.
-func (sim *simulation) replace(n *simWorker) {
-	if n.gone || sim.noWorkerLoss || len(sim.workers) > 12 {
+func (sim *simulation) replace(w *simWorker) {
+	if w.gone || sim.noWorkerLoss || len(sim.workers) > 12 {
 		return
 	}
 	sim.faults["worker gone"]++
-	n.alive, n.gone = false, true
+	w.alive, w.gone = false, true
 	sim.workers = append(sim.workers, &simWorker{
 		name: fmt.Sprintf("worker-%02d", len(sim.workers)), alive: true, starts: map[string]*simStart{},
 	})
@@ -144,8 +144,8 @@
 func (sim *simulation) clearFaults() {
 	sim.down = false
 	sim.store.SetFaults(table.Faults{})
-	for _, n := range sim.workers {
-		n.silent, n.failsTasks = false, false
+	for _, w := range sim.workers {
+		w.silent, w.failsTasks = false, false
 	}
 	for _, m := range sim.managers {
 		m.paused = false
@@ -153,8 +153,8 @@
 	sim.takeOver()
 	for round := range 1500 {
 		sim.now = sim.now.Add(200 * time.Millisecond)
-		for _, n := range sim.workers {
-			sim.finishOne(n)
+		for _, w := range sim.workers {
+			sim.finishOne(w)
 		}
 		for _, m := range sim.managers {
 			sim.reportWorkers(m)
@@ -288,12 +288,12 @@
 	}
 }
 
-// TestMutations breaks one rule at a time and checks that the simulation detects a
+// TestMutants breaks one rule at a time and checks that the simulation detects a
 // violation.
-func TestMutations(t *testing.T) {
+func TestMutants(t *testing.T) {
 	// The search starts at a seed that is known to find the violation, to save time.
 	tests := map[string]struct {
-		mutant mutation
+		mutant mutant
 		seed   uint64
 	}{
 		"unfenced":     {mutant: mutantUnfenced},
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -154,7 +154,7 @@
 func (r *Runner) campaign(ctx context.Context) (table.Condition, uint64, bool) {
 	rows, err := r.cfg.Store.Get(ctx, r.election.Keys()...)
 	if err != nil {
-		r.election.ResetHeartbeat()
+		r.election.ResetTimeout()
 		return table.Condition{}, 0, false
 	}
 	txn, claims := r.election.Observe(time.Now(), rows)
--- a/internal/task/sim_worker_test.go
+++ b/internal/task/sim_worker_test.go
@@ -28,31 +28,31 @@
 	starts      map[string]*simStart
 }
 
-func (n *simWorker) incarnationID() string {
-	return fmt.Sprintf("%s#%d", n.name, n.incarnation)
+func (w *simWorker) incarnationID() string {
+	return fmt.Sprintf("%s#%d", w.name, w.incarnation)
 }
 
 func (sim *simulation) worker(name string) *simWorker {
-	for _, n := range sim.workers {
-		if n.name == name {
-			return n
+	for _, w := range sim.workers {
+		if w.name == name {
+			return w
 		}
 	}
 	return nil
 }
 
 func (sim *simulation) call(call task.Call) task.Answer {
-	n := sim.worker(call.Worker)
-	if n == nil || !n.alive {
+	w := sim.worker(call.Worker)
+	if w == nil || !w.alive {
 		return task.Answer{Kind: task.AnswerNone}
 	}
-	if n.silent {
+	if w.silent {
 		// The paused process handles the call when it resumes.
-		sim.delayed = append(sim.delayed, func() { sim.handleCall(n, call) })
+		sim.delayed = append(sim.delayed, func() { sim.handleCall(w, call) })
 		return sim.unanswered(call)
 	}
 	var answer task.Answer
-	if !sim.deliver(func() { answer = sim.handleCall(n, call) }) {
+	if !sim.deliver(func() { answer = sim.handleCall(w, call) }) {
 		return sim.unanswered(call)
 	}
 	return answer
@@ -66,52 +66,52 @@
 }
 
 // handleCall executes a call at the worker.
-func (sim *simulation) handleCall(n *simWorker, call task.Call) task.Answer {
-	if !n.alive {
+func (sim *simulation) handleCall(w *simWorker, call task.Call) task.Answer {
+	if !w.alive {
 		return task.Answer{Kind: task.AnswerNone}
 	}
-	if call.Epoch < n.epoch {
+	if call.Epoch < w.epoch {
 		return task.Answer{Kind: task.AnswerStale}
 	}
-	n.epoch = call.Epoch
-	known, ok := n.starts[call.StartID]
+	w.epoch = call.Epoch
+	known, ok := w.starts[call.StartID]
 	switch {
 	case call.Order == task.OrderStart && !ok:
-		return sim.startTask(n, call)
+		return sim.startTask(w, call)
 	case call.Order == task.OrderStop && !ok:
 		known = &simStart{state: task.AnswerStopped}
 		if sim.mutant != mutantNoTombstone {
-			n.starts[call.StartID] = known
+			w.starts[call.StartID] = known
 		}
 	case !ok:
-		return task.Answer{Kind: task.AnswerNoTask, Incarnation: sim.incarnationOf(n)}
+		return task.Answer{Kind: task.AnswerNoTask, Incarnation: sim.incarnationOf(w)}
 	case call.Order == task.OrderStop && known.state == task.AnswerRunning:
 		known.state = task.AnswerStopped
 	case call.Order == task.OrderCheckpoint && known.state == task.AnswerRunning:
 		known.state = task.AnswerCheckpointed
 	}
-	return sim.answer(n, call.StartID, known)
+	return sim.answer(w, call.StartID, known)
 }
 
-func (sim *simulation) incarnationOf(n *simWorker) string {
+func (sim *simulation) incarnationOf(w *simWorker) string {
 	if sim.mutant == mutantNoIncarnation {
 		return ""
 	}
-	return n.incarnationID()
+	return w.incarnationID()
 }
 
-func (sim *simulation) answer(n *simWorker, id string, known *simStart) task.Answer {
-	return task.Answer{Kind: known.state, StartID: id, Incarnation: sim.incarnationOf(n), Ran: known.ran, Reason: "bad"}
+func (sim *simulation) answer(w *simWorker, id string, known *simStart) task.Answer {
+	return task.Answer{Kind: known.state, StartID: id, Incarnation: sim.incarnationOf(w), Ran: known.ran, Reason: "bad"}
 }
 
 // startTask starts a task at the worker and records a violation if it must not
 // run.
-func (sim *simulation) startTask(n *simWorker, call task.Call) task.Answer {
-	if sim.mutant != mutantNoIncarnation && call.Record.Attempt.Incarnation != n.incarnationID() {
-		return task.Answer{Kind: task.AnswerOtherIncarnation, Incarnation: n.incarnationID()}
+func (sim *simulation) startTask(w *simWorker, call task.Call) task.Answer {
+	if sim.mutant != mutantNoIncarnation && call.Record.Attempt.Incarnation != w.incarnationID() {
+		return task.Answer{Kind: task.AnswerOtherIncarnation, Incarnation: w.incarnationID()}
 	}
 	name := call.Record.ID
-	n.starts[call.StartID] = &simStart{task: name, state: task.AnswerRunning, ran: true}
+	w.starts[call.StartID] = &simStart{task: name, state: task.AnswerRunning, ran: true}
 	sim.runs[name]++
 	if sim.runs[name] > 1 && sim.spec(name).Once {
 		sim.violate("task %s, not to be repeated, ran %d times", name, sim.runs[name])
@@ -125,18 +125,18 @@
 	if sim.refused[name] {
 		sim.violate("task %s was refused but ran", name)
 	}
-	if n.failsTasks {
-		sim.finish(n, call.StartID, false)
+	if w.failsTasks {
+		sim.finish(w, call.StartID, false)
 	}
-	return sim.answer(n, call.StartID, n.starts[call.StartID])
+	return sim.answer(w, call.StartID, w.starts[call.StartID])
 }
 
 // running counts the current runs of a task, or of all tasks if name is empty.
 func (sim *simulation) running(name string) int {
 	count := 0
-	for _, n := range sim.workers {
-		for _, s := range n.starts {
-			if n.alive && s.state == task.AnswerRunning && (name == "" || s.task == name) {
+	for _, w := range sim.workers {
+		for _, s := range w.starts {
+			if w.alive && s.state == task.AnswerRunning && (name == "" || s.task == name) {
 				count++
 			}
 		}
@@ -150,8 +150,8 @@
 }
 
 // finish ends a run at the worker with success or failure.
-func (sim *simulation) finish(n *simWorker, id string, good bool) {
-	s := n.starts[id]
+func (sim *simulation) finish(w *simWorker, id string, good bool) {
+	s := w.starts[id]
 	if good && !strings.HasPrefix(s.task, "poison") {
 		s.state = task.AnswerDone
 		sim.succeeded[s.task]++
@@ -161,25 +161,25 @@
 	if sim.failedOn[s.task] == nil {
 		sim.failedOn[s.task] = map[string]bool{}
 	}
-	sim.failedOn[s.task][n.name] = true
+	sim.failedOn[s.task][w.name] = true
 }
 
 func (sim *simulation) poll(poll task.Poll) task.PollResult {
-	n := sim.worker(poll.Worker)
-	if n == nil || !n.alive || n.silent {
+	w := sim.worker(poll.Worker)
+	if w == nil || !w.alive || w.silent {
 		return task.PollResult{Kind: task.AnswerNone}
 	}
-	if poll.Epoch < n.epoch {
+	if poll.Epoch < w.epoch {
 		return task.PollResult{Kind: task.AnswerStale}
 	}
-	n.epoch = poll.Epoch
+	w.epoch = poll.Epoch
 	if sim.choose.intN("poll lost", 10) == 0 {
 		return task.PollResult{Kind: task.AnswerNone}
 	}
-	result := task.PollResult{Kind: task.AnswerRunning, Incarnation: sim.incarnationOf(n)}
+	result := task.PollResult{Kind: task.AnswerRunning, Incarnation: sim.incarnationOf(w)}
 	for _, id := range poll.StartIDs {
-		if known, ok := n.starts[id]; ok {
-			result.Answers = append(result.Answers, sim.answer(n, id, known))
+		if known, ok := w.starts[id]; ok {
+			result.Answers = append(result.Answers, sim.answer(w, id, known))
 		}
 	}
 	return result
--- a/internal/task/simulation_test.go
+++ b/internal/task/simulation_test.go
@@ -17,20 +17,20 @@
 	teamLimit = 3
 )
 
-// mutation names a rule that the simulation breaks on purpose, to check that it
+// mutant names a rule that the simulation breaks on purpose, to check that it
 // detects the violation.
-type mutation string
+type mutant string
 
 const (
-	mutantNone             mutation = ""
-	mutantUnfenced         mutation = "rows are written without conditions"
-	mutantRestartElsewhere mutation = "a start without an answer goes elsewhere"
-	mutantUnknownRefused   mutation = "a lost answer of the table counts as a refusal"
-	mutantNoIncarnation    mutation = "starts do not name the worker's process"
-	mutantRepeatable       mutation = "tasks are not marked as not to be repeated"
-	mutantSilentIsGone     mutation = "a silent worker counts as gone"
-	mutantLatePoll         mutation = "an old poll proves that a start is forgotten"
-	mutantNoTombstone      mutation = "a stop of an unknown start is forgotten"
+	mutantNone             mutant = ""
+	mutantUnfenced         mutant = "rows are written without conditions"
+	mutantRestartElsewhere mutant = "a start without an answer goes elsewhere"
+	mutantUnknownRefused   mutant = "a lost answer of the table counts as a refusal"
+	mutantNoIncarnation    mutant = "starts do not name the worker's process"
+	mutantRepeatable       mutant = "tasks are not marked as not to be repeated"
+	mutantSilentIsGone     mutant = "a silent worker counts as gone"
+	mutantLatePoll         mutant = "an old poll proves that a start is forgotten"
+	mutantNoTombstone      mutant = "a stop of an unknown start is forgotten"
 )
 
 // chooser makes the simulation's random choices. Labels describe them in the
@@ -52,7 +52,7 @@
 // which tasks actually ran and which were refused.
 type simulation struct {
 	choose   chooser
-	mutant   mutation
+	mutant   mutant
 	now      time.Time
 	store    *table.Memory
 	down     bool
@@ -76,7 +76,7 @@
 	violations []string
 }
 
-func newSimulation(choose chooser, mutant mutation) *simulation {
+func newSimulation(choose chooser, mutant mutant) *simulation {
 	sim := &simulation{
 		choose: choose, mutant: mutant, now: time.Unix(1_000_000, 0), store: table.NewMemory(),
 		runs: map[string]int{}, succeeded: map[string]int{}, failedOn: map[string]map[string]bool{},
@@ -125,14 +125,14 @@
 // reportWorkers passes the platform's host list and the workers' reports to a
 // manager.
 func (sim *simulation) reportWorkers(m *manager) {
-	for _, n := range sim.workers {
+	for _, w := range sim.workers {
 		switch {
-		case n.gone, sim.mutant == mutantSilentIsGone && n.silent:
-			m.controller.Gone(sim.now, n.name)
-		case n.alive && !n.silent:
+		case w.gone, sim.mutant == mutantSilentIsGone && w.silent:
+			m.controller.Gone(sim.now, w.name)
+		case w.alive && !w.silent:
 			m.controller.Join(sim.now, place.Worker{
-				Name: n.name, Rack: n.name, Size: place.Size{CPUs: 4, Memory: 4 << 30},
-			}, n.incarnationID())
+				Name: w.name, Rack: w.name, Size: place.Size{CPUs: 4, Memory: 4 << 30},
+			}, w.incarnationID())
 		}
 	}
 }
--- a/internal/task/worker.go
+++ b/internal/task/worker.go
@@ -32,9 +32,9 @@
 }
 
 // pollBy moves the next poll forward to that time if it is due later.
-func (l *workerState) pollBy(at time.Time) {
-	if at.Before(l.nextPollAt) {
-		l.nextPollAt = at
+func (w *workerState) pollBy(at time.Time) {
+	if at.Before(w.nextPollAt) {
+		w.nextPollAt = at
 	}
 }
 
