--- a/internal/limit/account.go
+++ b/internal/limit/account.go
@@ -8,7 +8,7 @@
 )
 
 // needDecayShift halves the remembered need with each tick.
-const needDecayShift = 1
+const demandDecayShift = 1
 
 // account is one team's part of a Ledger. Should inUse exceed holding, then
 // nothing starts until enough has ended.
@@ -20,7 +20,7 @@
 	holding    int
 	inUse      int
 	frozen     bool
-	held       bool
+	draining   bool
 	members    map[Member]bool
 	sent       map[Member]int
 	received   map[Member]int
@@ -30,57 +30,57 @@
 	// part of inUse.
 	lingering []time.Time
 	// refused counts the refusals since the last tick.
-	refused int
-	need    int
+	refused      int
+	recentDemand int
 	// pledges are permits kept for one peer each, until two ticks after its
 	// last Ask.
-	pledges map[Member]pledge
+	reservations map[Member]reservation
 }
 
 // pledge is what an account keeps for a peer that asked in vain.
-type pledge struct {
+type reservation struct {
 	permits int
 	renewed bool
 }
 
 func newAccount() *account {
 	return &account{
-		members:   make(map[Member]bool),
-		sent:      make(map[Member]int),
-		received:  make(map[Member]int),
-		confirmed: make(map[Member]int),
-		pledges:   make(map[Member]pledge),
+		members:      make(map[Member]bool),
+		sent:         make(map[Member]int),
+		received:     make(map[Member]int),
+		confirmed:    make(map[Member]int),
+		reservations: make(map[Member]reservation),
 	}
 }
 
 // adopt moves the account forward to the row; older rows change nothing.
-func (a *account) adopt(self Member, row Grant) {
+func (a *account) applyRow(self Member, row Row) {
 	switch {
 	case row.Generation < a.generation:
 		return
 	case row.Generation == a.generation:
-		a.raise(self, row)
+		a.applyIncrease(self, row)
 		return
 	}
 	if carry, ok := row.Carried[self]; ok {
-		a.stay(carry)
+		a.applyCarry(carry)
 		return
 	}
-	a.enter(row.Generation)
+	a.startGeneration(row.Generation)
 	a.limit = row.Limit
 	a.granted = row.Granted[self]
 	a.holding = a.granted
-	a.join(row)
+	a.addMembers(row)
 }
 
 // raise takes over what was added to the row within the generation. A frozen
 // account takes nothing, since its report must remain an upper bound.
-func (a *account) raise(self Member, row Grant) {
+func (a *account) applyIncrease(self Member, row Row) {
 	if a.frozen {
 		return
 	}
 	a.limit = max(a.limit, row.Limit)
-	a.join(row)
+	a.addMembers(row)
 	if granted := row.Granted[self]; granted > a.granted {
 		a.holding += granted - a.granted
 		a.granted = granted
@@ -89,35 +89,35 @@
 
 // stay keeps the account in the generation in which the row carries it. An
 // account that never saw that generation enters it with what it holds.
-func (a *account) stay(carry Carry) {
+func (a *account) applyCarry(carry Carry) {
 	if carry.Generation <= a.generation {
 		return
 	}
-	a.enter(carry.Generation)
+	a.startGeneration(carry.Generation)
 	a.granted = a.holding
 	a.frozen = true
 }
 
 // enter starts a generation without any trade.
-func (a *account) enter(generation uint64) {
+func (a *account) startGeneration(generation uint64) {
 	a.generation = generation
 	a.frozen = false
-	a.held = false
-	clear(a.pledges)
+	a.draining = false
+	clear(a.reservations)
 	clear(a.sent)
 	clear(a.received)
 	clear(a.confirmed)
 	clear(a.members)
 }
 
-func (a *account) join(row Grant) {
+func (a *account) addMembers(row Row) {
 	for m := range row.Granted {
 		a.members[m] = true
 	}
 }
 
 func (a *account) acquire() bool {
-	if a.held || a.inUse >= a.holding-a.pledged() {
+	if a.draining || a.inUse >= a.holding-a.reserved() {
 		a.refused++
 		return false
 	}
@@ -130,7 +130,7 @@
 		panic("limit: release without acquire")
 	}
 	a.inUse--
-	if a.held {
+	if a.draining {
 		a.holding = min(a.holding, a.inUse)
 	}
 }
@@ -148,7 +148,7 @@
 
 // current estimates how many permits could be in use now. A refusal doubles it
 // at least, because a caller may stop asking after the first one.
-func (a *account) current() int {
+func (a *account) currentDemand() int {
 	if a.refused == 0 {
 		return a.inUse
 	}
@@ -157,27 +157,27 @@
 
 // demand is the current or the recent need, whichever is greater.
 func (a *account) demand() int {
-	return max(a.current(), a.need)
+	return max(a.currentDemand(), a.recentDemand)
 }
 
 // observe ages the remembered need and the pledges at the end of a tick.
-func (a *account) observe() {
-	a.need = max(a.current(), a.need>>needDecayShift)
+func (a *account) endTick() {
+	a.recentDemand = max(a.currentDemand(), a.recentDemand>>demandDecayShift)
 	a.refused = 0
-	for peer, kept := range a.pledges {
-		if !kept.renewed {
-			delete(a.pledges, peer)
+	for peer, r := range a.reservations {
+		if !r.renewed {
+			delete(a.reservations, peer)
 			continue
 		}
-		a.pledges[peer] = pledge{permits: kept.permits}
+		a.reservations[peer] = reservation{permits: r.permits}
 	}
 }
 
 // pledged returns the permits kept for all peers.
-func (a *account) pledged() int {
+func (a *account) reserved() int {
 	sum := 0
-	for _, kept := range a.pledges {
-		sum += kept.permits
+	for _, r := range a.reservations {
+		sum += r.permits
 	}
 	return sum
 }
@@ -185,9 +185,9 @@
 // spare returns how many of want permits the account parts with: all that it
 // has not needed lately, at least half of what is idle, and what it pledged to
 // this peer; never what is kept for another, who would starve otherwise.
-func (a *account) spare(to Member, want int) int {
-	own := a.pledges[to].permits
-	idle := a.holding - a.inUse - (a.pledged() - own)
+func (a *account) transferable(to Member, want int) int {
+	own := a.reservations[to].permits
+	idle := a.holding - a.inUse - (a.reserved() - own)
 	if a.frozen || idle <= 0 {
 		return 0
 	}
@@ -197,27 +197,27 @@
 
 // pledge keeps permits back, as work ends, for a peer that holds fewer and got
 // less than it asked for; without it a busy member would starve the peer.
-func (a *account) pledge(to Member, want, peerHolding int) {
+func (a *account) reserve(to Member, want, peerHolding int) {
 	if ahead := a.holding - peerHolding; want > 0 && ahead > 1 && !a.frozen {
-		own := a.pledges[to].permits
+		own := a.reservations[to].permits
 		// All pledges together leave the account half of what it holds.
-		free := max(0, a.holding/2-(a.pledged()-own))
-		a.pledges[to] = pledge{permits: max(own, min(want, ahead/2, free)), renewed: true}
+		free := max(0, a.holding/2-(a.reserved()-own))
+		a.reservations[to] = reservation{permits: max(own, min(want, ahead/2, free)), renewed: true}
 	}
 }
 
-func (a *account) give(to Member, n int) int {
+func (a *account) debit(to Member, n int) int {
 	a.holding -= n
-	if kept, ok := a.pledges[to]; ok {
-		kept.permits = max(0, kept.permits-n)
-		a.pledges[to] = kept
+	if r, ok := a.reservations[to]; ok {
+		r.permits = max(0, r.permits-n)
+		a.reservations[to] = r
 	}
 	a.sent[to] += n
 	return a.sent[to]
 }
 
 // receive counts a transfer, and returns false when it may count later.
-func (a *account) receive(t Transfer) bool {
+func (a *account) credit(t Transfer) bool {
 	if t.Generation > a.generation {
 		return false
 	}
@@ -234,12 +234,12 @@
 // freeze ends the trade of the current generation for good.
 func (a *account) freeze(mode FreezeMode, keep int) {
 	a.frozen = true
-	clear(a.pledges)
+	clear(a.reservations)
 	switch mode {
 	case FreezeTrim:
 		a.holding = min(a.holding, max(a.inUse, keep))
-	case FreezeHold:
-		a.held = true
+	case FreezeDrain:
+		a.draining = true
 		a.holding = min(a.holding, a.inUse)
 	}
 }
@@ -270,6 +270,6 @@
 		Lingering:  len(a.lingering),
 		Idle:       idle,
 		Frozen:     a.frozen,
-		Held:       a.held,
+		Draining:   a.draining,
 	}
 }
--- a/internal/limit/ledger.go
+++ b/internal/limit/ledger.go
@@ -60,7 +60,7 @@
 type Ledger struct {
 	self Member
 	// grow serialises additions to accounts, which is replaced as a whole.
-	grow     sync.Mutex
+	createMu sync.Mutex
 	accounts atomic.Pointer[map[string]*account]
 }
 
@@ -81,12 +81,12 @@
 }
 
 // open returns the team's locked account, which it creates if need be.
-func (l *Ledger) open(team string) *account {
+func (l *Ledger) lockOrCreate(team string) *account {
 	if a := l.lock(team); a != nil {
 		return a
 	}
-	l.grow.Lock()
-	defer l.grow.Unlock()
+	l.createMu.Lock()
+	defer l.createMu.Unlock()
 	if a := l.lock(team); a != nil {
 		return a
 	}
@@ -99,7 +99,7 @@
 }
 
 // each calls f with every team's locked account, in order of the teams' names.
-func (l *Ledger) each(f func(team string, a *account)) {
+func (l *Ledger) forEach(f func(team string, a *account)) {
 	accounts := *l.accounts.Load()
 	for _, team := range slices.Sorted(maps.Keys(accounts)) {
 		a := accounts[team]
@@ -111,10 +111,10 @@
 
 // Adopt takes over a committed row, from the table or from a peer. Rows may
 // come late, repeated and in any order.
-func (l *Ledger) Adopt(row Grant) {
-	a := l.open(row.Team)
+func (l *Ledger) Apply(row Row) {
+	a := l.lockOrCreate(row.Team)
 	defer a.mu.Unlock()
-	a.adopt(l.self, row)
+	a.applyRow(l.self, row)
 }
 
 // Acquire takes a permit of the team; without one the work must not start.
@@ -130,8 +130,8 @@
 
 // Expect tells how many requests of the team wait for a permit; it counts as
 // need until the next Tick.
-func (l *Ledger) Expect(team string, waiting int) {
-	a := l.open(team)
+func (l *Ledger) RecordWaiting(team string, waiting int) {
+	a := l.lockOrCreate(team)
 	defer a.mu.Unlock()
 	a.refused = max(a.refused, waiting)
 }
@@ -139,7 +139,7 @@
 // Release returns a permit whose work is known to have ended. It panics when
 // no permit of the team is in use.
 func (l *Ledger) Release(team string) {
-	a := l.open(team)
+	a := l.lockOrCreate(team)
 	defer a.mu.Unlock()
 	a.release()
 }
@@ -147,15 +147,15 @@
 // Linger leaves a permit in use until the given time, for work that may still
 // run although nobody waits for it.
 func (l *Ledger) Linger(team string, until time.Time) {
-	a := l.open(team)
+	a := l.lockOrCreate(team)
 	defer a.mu.Unlock()
 	a.lingering = append(a.lingering, until)
 }
 
 // Settle releases a permit that lingers until the given time, because its work
 // is now known to have ended. It does nothing when that time has passed.
-func (l *Ledger) Settle(team string, until time.Time) {
-	a := l.open(team)
+func (l *Ledger) ReleaseLingering(team string, until time.Time) {
+	a := l.lockOrCreate(team)
 	defer a.mu.Unlock()
 	i := slices.IndexFunc(a.lingering, until.Equal)
 	if i < 0 {
@@ -168,52 +168,52 @@
 // Tick releases lingering permits whose time has come and ages the need that
 // Give keeps back. Call it once a gossip round.
 func (l *Ledger) Tick(now time.Time) {
-	l.each(func(_ string, a *account) {
+	l.forEach(func(_ string, a *account) {
 		a.expire(now)
-		a.observe()
+		a.endTick()
 	})
 }
 
 // Wanted returns the requests for permits to send, given what each peer last
 // told: for idle permits, the most idle peer first, and for the rest to the
 // peer that holds most.
-func (l *Ledger) Wanted(team string, peers map[Member]Status) []Ask {
+func (l *Ledger) TransferRequests(team string, peers map[Member]Status) []TransferRequest {
 	a := l.lock(team)
 	if a == nil {
 		return nil
 	}
 	defer a.mu.Unlock()
-	short := a.demand() - a.holding
-	if a.frozen || short <= 0 {
+	deficit := a.demand() - a.holding
+	if a.frozen || deficit <= 0 {
 		return nil
 	}
-	var asks []Ask
-	for _, peer := range byIdle(peers) {
-		want := min(short, peers[peer].Idle)
+	var requests []TransferRequest
+	for _, peer := range sortedByIdle(peers) {
+		want := min(deficit, peers[peer].Idle)
 		if want > 0 {
-			asks = append(asks, l.ask(team, a, peer, want))
-			short -= want
+			requests = append(requests, l.newTransferRequest(team, a, peer, want))
+			deficit -= want
 		}
 	}
-	if peer, ok := richest(peers); ok && len(asks) == 0 && peers[peer].Holding > a.holding+1 {
-		asks = append(asks, l.ask(team, a, peer, short))
+	if peer, ok := largestHolder(peers); ok && len(requests) == 0 && peers[peer].Holding > a.holding+1 {
+		requests = append(requests, l.newTransferRequest(team, a, peer, deficit))
 	}
-	return asks
+	return requests
 }
 
-func (l *Ledger) ask(team string, a *account, to Member, want int) Ask {
-	return Ask{Team: team, Generation: a.generation, From: l.self, To: to, Want: want, Holding: a.holding}
+func (l *Ledger) newTransferRequest(team string, a *account, to Member, want int) TransferRequest {
+	return TransferRequest{Team: team, Generation: a.generation, From: l.self, To: to, Want: want, Holding: a.holding}
 }
 
 // byIdle returns the peers in order of their idle permits, the most first.
-func byIdle(peers map[Member]Status) []Member {
+func sortedByIdle(peers map[Member]Status) []Member {
 	return slices.SortedFunc(maps.Keys(peers), func(p, q Member) int {
 		return cmp.Or(peers[q].Idle-peers[p].Idle, cmp.Compare(p, q))
 	})
 }
 
 // richest returns the peer that holds most permits.
-func richest(peers map[Member]Status) (Member, bool) {
+func largestHolder(peers map[Member]Status) (Member, bool) {
 	order := slices.SortedFunc(maps.Keys(peers), func(p, q Member) int {
 		return cmp.Or(peers[q].Holding-peers[p].Holding, cmp.Compare(p, q))
 	})
@@ -225,23 +225,23 @@
 
 // Give answers a peer's request with a transfer, or false when it has nothing
 // to spare now or the peer is not a member of the same generation.
-func (l *Ledger) Give(ask Ask) (Transfer, bool) {
-	a := l.lock(ask.Team)
+func (l *Ledger) HandleTransferRequest(request TransferRequest) (Transfer, bool) {
+	a := l.lock(request.Team)
 	if a == nil {
 		return Transfer{}, false
 	}
 	defer a.mu.Unlock()
-	if !l.trades(a, ask) {
+	if !l.isPeer(a, request) {
 		return Transfer{}, false
 	}
-	n := max(0, a.spare(ask.From, ask.Want))
-	transfer, ok := l.give(a, ask, n)
-	a.pledge(ask.From, ask.Want-n, ask.Holding+n)
+	n := max(0, a.transferable(request.From, request.Want))
+	transfer, ok := l.transfer(a, request, n)
+	a.reserve(request.From, request.Want-n, request.Holding+n)
 	return transfer, ok
 }
 
 // Leave passes all idle permits to the peer, for a planned stop.
-func (l *Ledger) Leave(team string, to Member) (Transfer, bool) {
+func (l *Ledger) TransferIdle(team string, to Member) (Transfer, bool) {
 	a := l.lock(team)
 	if a == nil {
 		return Transfer{}, false
@@ -251,24 +251,24 @@
 	if a.frozen {
 		n = 0
 	}
-	return l.give(a, Ask{Team: team, Generation: a.generation, From: to}, n)
+	return l.transfer(a, TransferRequest{Team: team, Generation: a.generation, From: to}, n)
 }
 
 // trades reports whether the asker is another member of the same generation.
-func (l *Ledger) trades(a *account, ask Ask) bool {
-	return ask.Generation == a.generation && ask.From != l.self && a.members[ask.From]
+func (l *Ledger) isPeer(a *account, request TransferRequest) bool {
+	return request.Generation == a.generation && request.From != l.self && a.members[request.From]
 }
 
-func (l *Ledger) give(a *account, ask Ask, n int) (Transfer, bool) {
-	if n <= 0 || !l.trades(a, ask) {
+func (l *Ledger) transfer(a *account, request TransferRequest, n int) (Transfer, bool) {
+	if n <= 0 || !l.isPeer(a, request) {
 		return Transfer{}, false
 	}
 	return Transfer{
-		Team:       ask.Team,
+		Team:       request.Team,
 		Generation: a.generation,
 		From:       l.self,
-		To:         ask.From,
-		Total:      a.give(ask.From, n),
+		To:         request.From,
+		Total:      a.debit(request.From, n),
 	}, true
 }
 
@@ -278,14 +278,14 @@
 	if t.To != l.self {
 		return true
 	}
-	a := l.open(t.Team)
+	a := l.lockOrCreate(t.Team)
 	defer a.mu.Unlock()
-	return a.receive(t)
+	return a.credit(t)
 }
 
 // Confirm notes that the peer answered true to the transfer.
 func (l *Ledger) Confirm(t Transfer) {
-	a := l.open(t.Team)
+	a := l.lockOrCreate(t.Team)
 	defer a.mu.Unlock()
 	if t.Generation == a.generation {
 		a.confirmed[t.To] = max(a.confirmed[t.To], t.Total)
@@ -294,9 +294,9 @@
 
 // Resend returns the latest transfer to each peer that has not confirmed it,
 // to be repeated with each gossip round because any single one may be lost.
-func (l *Ledger) Resend() []Transfer {
+func (l *Ledger) Unconfirmed() []Transfer {
 	var transfers []Transfer
-	l.each(func(team string, a *account) {
+	l.forEach(func(team string, a *account) {
 		if a.frozen {
 			return
 		}
@@ -312,13 +312,13 @@
 // Freeze answers a manager's request, or returns false when the request is
 // older than the generation in force here or does not know this member.
 func (l *Ledger) Freeze(request FreezeRequest) (Report, bool) {
-	generation, known := request.Row.expects(l.self)
+	generation, known := request.Row.generationOf(l.self)
 	if !known || request.To != l.self {
 		return Report{}, false
 	}
-	a := l.open(request.Row.Team)
+	a := l.lockOrCreate(request.Row.Team)
 	defer a.mu.Unlock()
-	a.adopt(l.self, request.Row)
+	a.applyRow(l.self, request.Row)
 	if a.generation != generation {
 		return Report{}, false
 	}
@@ -330,7 +330,7 @@
 // not ask learns that the generation must be rebased.
 func (l *Ledger) Reports() []Report {
 	var reports []Report
-	l.each(func(team string, a *account) {
+	l.forEach(func(team string, a *account) {
 		if a.frozen {
 			reports = append(reports, a.report(team, l.self))
 		}
@@ -351,7 +351,7 @@
 // Statuses returns the figures of all teams, for gossip.
 func (l *Ledger) Statuses() []Status {
 	var statuses []Status
-	l.each(func(team string, a *account) {
+	l.forEach(func(team string, a *account) {
 		statuses = append(statuses, a.status(team))
 	})
 	return statuses
@@ -360,14 +360,14 @@
 // Snapshot returns the whole state for the state dump.
 func (l *Ledger) Snapshot() Snapshot {
 	snapshot := Snapshot{Self: l.self, Teams: []TeamSnapshot{}}
-	l.each(func(team string, a *account) {
+	l.forEach(func(team string, a *account) {
 		snapshot.Teams = append(snapshot.Teams, TeamSnapshot{
-			Status:   a.status(team),
-			Granted:  a.granted,
-			Need:     a.need,
-			Pledged:  a.pledged(),
-			Sent:     maps.Clone(a.sent),
-			Received: maps.Clone(a.received),
+			Status:       a.status(team),
+			Granted:      a.granted,
+			RecentDemand: a.recentDemand,
+			Reserved:     a.reserved(),
+			Sent:         maps.Clone(a.sent),
+			Received:     maps.Clone(a.received),
 		})
 	})
 	return snapshot
--- a/internal/limit/ledger_test.go
+++ b/internal/limit/ledger_test.go
@@ -13,7 +13,7 @@
 // fleet is a number of ledgers with one planner and a faultless network.
 type fleet struct {
 	now     time.Time
-	row     limit.Grant
+	row     limit.Row
 	view    limit.View
 	planner *limit.Planner
 	ledgers map[limit.Member]*limit.Ledger
@@ -24,7 +24,7 @@
 func newFleet(members, permits int) *fleet {
 	f := &fleet{
 		now:     time.Unix(1000, 0),
-		row:     limit.Grant{Team: team},
+		row:     limit.Row{Team: team},
 		view:    limit.View{Limit: permits, LongestRun: longestRun},
 		planner: limit.NewPlanner(limit.PlannerConfig{ReportTimeout: time.Second}),
 		ledgers: make(map[limit.Member]*limit.Ledger),
@@ -79,8 +79,8 @@
 }
 
 func (f *fleet) askPeers(m limit.Member, peers map[limit.Member]limit.Status) {
-	for _, ask := range f.ledgers[m].Wanted(team, peers) {
-		if transfer, ok := f.ledgers[ask.To].Give(ask); ok {
+	for _, ask := range f.ledgers[m].TransferRequests(team, peers) {
+		if transfer, ok := f.ledgers[ask.To].HandleTransferRequest(ask); ok {
 			f.ledgers[m].Receive(transfer)
 			f.ledgers[ask.To].Confirm(transfer)
 		}
@@ -94,15 +94,15 @@
 	for _, request := range decision.Freezes {
 		if ledger, ok := f.ledgers[request.To]; ok {
 			if report, ok := ledger.Freeze(request); ok {
-				f.planner.Handle(report)
+				f.planner.HandleReport(report)
 			}
 		}
 	}
-	if decision.Verdict == limit.Commit {
+	if decision.Action == limit.Commit {
 		f.row = decision.Next
 	}
 	for _, ledger := range f.ledgers {
-		ledger.Adopt(f.row)
+		ledger.Apply(f.row)
 	}
 }
 
@@ -161,14 +161,14 @@
 				}
 			}
 			rounds, running := 0, f.start(0, tc.permits)
-			static := float64(running) / float64(tc.permits)
+			withoutTransfers := float64(running) / float64(tc.permits)
 			for float64(running) < wantShare*float64(tc.permits) && rounds < maxRounds {
 				f.round()
 				running += f.start(0, tc.permits)
 				rounds++
 			}
 			got := float64(running) / float64(tc.permits)
-			t.Logf("share of the limit %.3f after %d gossip rounds, %.3f without trade", got, rounds, static)
+			t.Logf("share of the limit %.3f after %d gossip rounds, %.3f without trade", got, rounds, withoutTransfers)
 			if got < wantShare {
 				t.Errorf("share of the limit: got %.3f, want %.2f", got, wantShare)
 			}
@@ -198,9 +198,9 @@
 	}
 }
 
-// TestQuietMemberBesideFloodedPeers has two members that use the whole limit
+// TestQuietMemberGetsPermitFromBusyPeers has two members that use the whole limit
 // and ask each other after each end, and a third that asks once a round.
-func TestQuietMemberBesideFloodedPeers(t *testing.T) {
+func TestQuietMemberGetsPermitFromBusyPeers(t *testing.T) {
 	const permits, maxRounds = 12, 10
 	f := newFleet(3, permits)
 	for range 10 {
@@ -233,7 +233,7 @@
 	t.Errorf("got no permit in %d rounds, want one", maxRounds)
 }
 
-func TestIdleAfterCrash(t *testing.T) {
+func TestPermitsReclaimedAfterCrash(t *testing.T) {
 	const permits = 56
 	tests := map[string]struct{ busyRounds, wantLost int }{
 		"even load":                      {wantLost: 8},
@@ -308,7 +308,7 @@
 	names := make([]string, teams)
 	for i := range names {
 		names[i] = fmt.Sprintf("team-%d", i)
-		ledger.Adopt(limit.Grant{Team: names[i], Generation: 1, Limit: 1000, Granted: map[limit.Member]int{"entry-1/1": 1000}})
+		ledger.Apply(limit.Row{Team: names[i], Generation: 1, Limit: 1000, Granted: map[limit.Member]int{"entry-1/1": 1000}})
 	}
 	for name, spread := range map[string]int{"one-team": 1, "130-teams": teams} {
 		b.Run(name, func(b *testing.B) {
@@ -330,7 +330,7 @@
 		b.Run(fmt.Sprintf("%d-teams", teams), func(b *testing.B) {
 			ledger := limit.New(limit.Config{Self: "entry-1/1"})
 			for i := range teams {
-				ledger.Adopt(limit.Grant{Team: fmt.Sprint(i), Generation: 1, Limit: 9, Granted: map[limit.Member]int{"entry-1/1": 9}})
+				ledger.Apply(limit.Row{Team: fmt.Sprint(i), Generation: 1, Limit: 9, Granted: map[limit.Member]int{"entry-1/1": 9}})
 			}
 			for b.Loop() {
 				ledger.Tick(time.Unix(1, 0))
@@ -368,7 +368,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, err := limit.ParseGrant([]byte(tc.value))
+			_, err := limit.ParseRow([]byte(tc.value))
 			if got := err != nil; got != tc.wantErr {
 				t.Errorf("error: got %v, want error %v", err, tc.wantErr)
 			}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -8,7 +8,7 @@
 )
 
 // provoked lists what a run of the fuzzer must have met to count.
-var provoked = []string{
+var requiredEvents = []string{
 	"step", "started", "refused", "timeout", "transfers", "freezes", "lost", "doubled", "commit", "conflict",
 	"lost answer", "commit refused", "outage", "pause", "wake", "cut", "crash", "crash with work", "raised", "lowered", "carried group",
 }
@@ -19,58 +19,58 @@
 		// rapid favours small numbers; the sum with a random one is even.
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		intn := func(n int) int { return (rapid.IntRange(0, n-1).Draw(t, "choice") + random.IntN(n)) % n }
-		w := newWorld(intn, rules{})
+		s := newSimulation(intn, mutations{})
 		defer func() {
-			for name, n := range w.counts {
+			for name, n := range s.counts {
 				total[name] += n
 			}
 		}()
-		if err := w.run(400); err != nil {
+		if err := s.run(400); err != nil {
 			t.Fatal(err)
 		}
-		got, err := w.settle()
+		got, err := s.quiesce()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := w.desired; got != want {
+		if want := s.desiredLimit; got != want {
 			t.Fatalf("live members hold %d permits after quiescence, want %d", got, want)
 		}
 	})
 	t.Log("provoked:", total)
-	for _, name := range provoked {
+	for _, name := range requiredEvents {
 		if total[name] == 0 {
 			t.Errorf("%s: provoked none", name)
 		}
 	}
 }
 
-// TestOracleFindsMutations takes out one rule at a time; the oracle must see
+// TestSimulationDetectsMutations takes out one rule at a time; the oracle must see
 // more running than the limit.
-func TestOracleFindsMutations(t *testing.T) {
+func TestSimulationDetectsMutations(t *testing.T) {
 	const maxRuns, steps = 3000, 600
 	tests := map[string]struct {
-		broken rules
+		broken mutations
 		// stream selects random runs that meet the mutation early.
 		stream uint64
 	}{
-		"accept a transfer after the report":      {broken: rules{acceptAfterReport: true}, stream: 5},
-		"add totals of repeated transfers":        {broken: rules{addTotals: true}, stream: 5},
-		"adopt a generation while carried":        {broken: rules{adoptWhileCarried: true}, stream: 5},
-		"commit without a condition":              {broken: rules{blindCommit: true}, stream: 2},
-		"give without debit":                      {broken: rules{giveWithoutDebit: true}, stream: 5},
-		"lease by wall clock":                     {broken: rules{leaseByClock: true}, stream: 4},
-		"lower without collecting":                {broken: rules{lowerAtOnce: true}, stream: 5},
-		"reclaim before the longest run is over":  {broken: rules{noLongestRun: true}, stream: 5},
-		"release on timeout":                      {broken: rules{releaseOnTimeout: true}, stream: 5},
-		"strike off the gone while one is silent": {broken: rules{noGhosts: true}, stream: 4},
-		"report nothing held":                     {broken: rules{reportOfAnyAge: true}, stream: 5},
+		"accept a transfer after the report":      {broken: mutations{acceptAfterReport: true}, stream: 5},
+		"add totals of repeated transfers":        {broken: mutations{addTotals: true}, stream: 5},
+		"adopt a generation while carried":        {broken: mutations{adoptWhileCarried: true}, stream: 5},
+		"commit without a condition":              {broken: mutations{blindCommit: true}, stream: 2},
+		"give without debit":                      {broken: mutations{transferWithoutDebit: true}, stream: 5},
+		"lease by wall clock":                     {broken: mutations{leaseByClock: true}, stream: 4},
+		"lower without collecting":                {broken: mutations{lowerAtOnce: true}, stream: 5},
+		"reclaim before the longest run is over":  {broken: mutations{noLongestRun: true}, stream: 5},
+		"release on timeout":                      {broken: mutations{releaseOnTimeout: true}, stream: 5},
+		"strike off the gone while one is silent": {broken: mutations{dropGoneEarly: true}, stream: 4},
+		"report nothing held":                     {broken: mutations{reportNothingHeld: true}, stream: 5},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(maxRuns) {
 				random := rand.New(rand.NewPCG(seed, tc.stream))
-				if err := newWorld(random.IntN, tc.broken).run(steps); err != nil {
+				if err := newSimulation(random.IntN, tc.broken).run(steps); err != nil {
 					t.Logf("run %d: %v", seed, err)
 					return
 				}
--- a/internal/limit/manager_test.go
+++ b/internal/limit/manager_test.go
@@ -19,16 +19,16 @@
 	live, ended []limit.Member
 }
 
-func (w *world) restartManager(i int) {
-	w.managers[i] = &manager{planner: limit.NewPlanner(limit.PlannerConfig{ReportTimeout: 2 * time.Second})}
-	w.refresh(w.managers[i])
+func (s *simulation) restartManager(i int) {
+	s.managers[i] = &manager{planner: limit.NewPlanner(limit.PlannerConfig{ReportTimeout: 2 * time.Second})}
+	s.refresh(s.managers[i])
 }
 
 // refresh brings the manager's lists of processes up to date.
-func (w *world) refresh(m *manager) {
-	m.live, m.ended = nil, slices.Clone(w.ended)
-	for _, p := range w.procs {
-		if p.paused && w.rules.leaseByClock {
+func (s *simulation) refresh(m *manager) {
+	m.live, m.ended = nil, slices.Clone(s.ended)
+	for _, p := range s.procs {
+		if p.paused && s.mutations.leaseByClock {
 			m.ended = append(m.ended, p.self)
 			continue
 		}
@@ -37,95 +37,95 @@
 }
 
 // manage lets a manager read and decide; it commits what it decided later.
-func (w *world) manage(i int) {
-	m := w.managers[i]
-	row, version, ok := w.row()
+func (s *simulation) manage(i int) {
+	m := s.managers[i]
+	row, version, ok := s.row()
 	if !ok {
 		return
 	}
-	if w.intn(3) == 0 {
-		w.refresh(m)
+	if s.intn(3) == 0 {
+		s.refresh(m)
 	}
-	view := limit.View{Row: row, Limit: w.desired, LongestRun: longestRun, Live: m.live, Ended: m.ended}
-	if w.rules.noLongestRun {
+	view := limit.View{Row: row, Limit: s.desiredLimit, LongestRun: longestRun, Live: m.live, Ended: m.ended}
+	if s.mutations.noLongestRun {
 		view.LongestRun = 0
 	}
-	decision := m.planner.Step(w.now, view)
+	decision := m.planner.Step(s.now, view)
 	for _, request := range decision.Freezes {
-		w.counts["freezes"]++
-		w.toMember(request.To, func(p *process) { w.freeze(p, m, request) })
+		s.counts["freezes"]++
+		s.toMember(request.To, func(p *process) { s.freeze(p, m, request) })
 	}
-	if decision.Verdict != limit.Commit {
+	if decision.Action != limit.Commit {
 		return
 	}
-	if w.rules.noGhosts {
-		w.strikeOff(decision.Next)
+	if s.mutations.dropGoneEarly {
+		s.dropGone(decision.Next)
 	}
-	w.propose(m, decision.Next, version.Version)
+	s.propose(m, decision.Next, version.Version)
 }
 
 // strikeOff grants a live member what a carried one had whose work has ended.
-func (w *world) strikeOff(next limit.Grant) {
+func (s *simulation) dropGone(next limit.Row) {
 	for gone, carry := range next.Carried {
-		diedAt, dead := w.died[gone]
-		if !dead || w.now.Before(diedAt.Add(longestRun)) || carry.Bound <= 0 {
+		diedAt, dead := s.died[gone]
+		if !dead || s.now.Before(diedAt.Add(longestRun)) || carry.Bound <= 0 {
 			continue
 		}
-		for _, taker := range slices.Sorted(maps.Keys(next.Granted)) {
+		for _, recipient := range slices.Sorted(maps.Keys(next.Granted)) {
 			delete(next.Carried, gone)
-			next.Granted[taker] += carry.Bound
+			next.Granted[recipient] += carry.Bound
 			break
 		}
 	}
 }
 
-func (w *world) propose(m *manager, next limit.Grant, version uint64) {
+func (s *simulation) propose(m *manager, next limit.Row, version uint64) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		panic(err)
 	}
 	m.pending = &table.Txn{Writes: []table.Write{{Key: limit.Key(team), Value: value}}}
-	if !w.rules.blindCommit {
+	if !s.mutations.blindCommit {
 		m.pending.Conditions = []table.Condition{{Key: limit.Key(team), Version: version}}
 	}
 }
 
-func (w *world) freeze(p *process, m *manager, request limit.FreezeRequest) {
-	if p.cut {
+func (s *simulation) freeze(p *process, m *manager, request limit.FreezeRequest) {
+	if p.partitioned {
 		return
 	}
 	report, ok := p.ledger.Freeze(request)
 	if !ok {
 		return
 	}
-	if w.rules.reportOfAnyAge {
+	if s.mutations.reportNothingHeld {
 		report.InUse, report.Holding = 0, 0
 	}
-	w.send(nil, func() { m.planner.Handle(report) })
+	s.send(nil, func() { m.planner.HandleReport(report) })
 }
 
-func (w *world) commit(i int) {
-	m := w.managers[i]
+func (s *simulation) commit(i int) {
+	m := s.managers[i]
 	if m.pending == nil {
 		return
 	}
 	txn := *m.pending
 	m.pending = nil
-	switch err := w.store.Commit(context.Background(), txn); {
+	switch err := s.store.Commit(context.Background(), txn); {
 	case table.IsConflict(err):
-		w.counts["conflict"]++
+		s.counts["conflict"]++
 		return
 	case table.IsUnknown(err):
-		w.counts["lost answer"]++
+		s.counts["lost answer"]++
 	case err != nil:
-		w.counts["commit refused"]++
+		s.counts["commit refused"]++
 		return
 	}
-	w.counts["commit"]++
-	if row, _, ok := w.row(); ok {
-		w.rows = append(w.rows, row)
+	s.counts["commit"]++
+	if row, _, ok := s.row(); ok {
+		s.committedRows = append(s.committedRows, row)
 		if len(row.Carried) > 1 {
-			w.counts["carried group"]++
+			s.counts["carried group"]++
 		}
 	}
 }
--- a/internal/limit/planner.go
+++ b/internal/limit/planner.go
@@ -11,7 +11,7 @@
 // View is what a manager has read about one team.
 type View struct {
 	// Row is the team's row; without one, only Row.Team is set.
-	Row Grant
+	Row Row
 	// Limit is the limit that the catalogue asks for.
 	Limit int
 	// LongestRun bounds how long work goes on after its member has ended.
@@ -26,9 +26,9 @@
 
 // Decision is what a manager should do for one team now.
 type Decision struct {
-	Verdict Verdict
+	Action Action
 	// Next is the row to commit, on condition of the version of View.Row.
-	Next Grant
+	Next Row
 	// Freezes are to be sent; the answers go to Handle.
 	Freezes []FreezeRequest
 }
@@ -47,8 +47,8 @@
 	// endedSince is when this planner first saw the evidence, by its own time.
 	endedSince map[Member]time.Time
 	// generation and since tell the rebase under way and when it began.
-	generation uint64
-	since      time.Time
+	rebaseGeneration uint64
+	rebaseSince      time.Time
 }
 
 // NewPlanner returns a Planner without any memory.
@@ -57,13 +57,13 @@
 }
 
 // Handle takes over a report, asked for or not, late or repeated.
-func (p *Planner) Handle(report Report) {
-	plan := p.team(report.Team)
-	known, ok := plan.reports[report.Member]
-	if ok && known.Generation > report.Generation {
+func (p *Planner) HandleReport(report Report) {
+	plan := p.planOf(report.Team)
+	previous, ok := plan.reports[report.Member]
+	if ok && previous.Generation > report.Generation {
 		return
 	}
-	if ok && known.Generation == report.Generation && known.Holding < report.Holding {
+	if ok && previous.Generation == report.Generation && previous.Holding < report.Holding {
 		return
 	}
 	plan.reports[report.Member] = report
@@ -71,7 +71,7 @@
 
 // Step decides what to do for the team of the view.
 func (p *Planner) Step(now time.Time, view View) Decision {
-	plan := p.team(view.Row.Team)
+	plan := p.planOf(view.Row.Team)
 	in := PlanInput{
 		Row:     view.Row,
 		Limit:   view.Limit,
@@ -79,19 +79,19 @@
 		Gone:    plan.gone(now, view),
 		Reports: plan.reports,
 	}
-	plan.forget(view)
-	if view.Row.Generation > 0 && !wanted(in) {
+	plan.dropUnknownReports(view)
+	if view.Row.Generation > 0 && !needsRebase(in) {
 		return p.extend(in)
 	}
-	if plan.generation != view.Row.Generation || plan.since.IsZero() {
-		plan.generation = view.Row.Generation
-		plan.since = now
+	if plan.rebaseGeneration != view.Row.Generation || plan.rebaseSince.IsZero() {
+		plan.rebaseGeneration = view.Row.Generation
+		plan.rebaseSince = now
 	}
-	in.AwaitSilent = now.Before(plan.since.Add(p.config.ReportTimeout))
+	in.AwaitReports = now.Before(plan.rebaseSince.Add(p.config.ReportTimeout))
 	outcome := Plan(in)
-	decision := Decision{Verdict: outcome.Verdict, Next: outcome.Next}
-	if outcome.Verdict == Wait {
-		decision.Freezes = append(outcome.Trims, missing(in)...)
+	decision := Decision{Action: outcome.Action, Next: outcome.Next}
+	if outcome.Action == Wait {
+		decision.Freezes = append(outcome.Trims, missingReportRequests(in)...)
 	}
 	return decision
 }
@@ -99,13 +99,13 @@
 // extend adds to the row what needs no rebase, and asks carried members for
 // the report that would bring them back.
 func (p *Planner) extend(in PlanInput) Decision {
-	p.teams[in.Row.Team].since = time.Time{}
+	p.teams[in.Row.Team].rebaseSince = time.Time{}
 	outcome := Extend(in)
-	decision := Decision{Verdict: outcome.Verdict, Next: outcome.Next}
+	decision := Decision{Action: outcome.Action, Next: outcome.Next}
 	if len(in.Row.Carried) == 0 {
 		return decision
 	}
-	for _, request := range missing(in) {
+	for _, request := range missingReportRequests(in) {
 		if _, carried := in.Row.Carried[request.To]; carried {
 			decision.Freezes = append(decision.Freezes, request)
 		}
@@ -113,7 +113,7 @@
 	return decision
 }
 
-func (p *Planner) team(team string) *teamPlan {
+func (p *Planner) planOf(team string) *teamPlan {
 	plan, ok := p.teams[team]
 	if !ok {
 		plan = &teamPlan{reports: make(map[Member]Report)}
@@ -140,9 +140,9 @@
 }
 
 // forget drops reports from members that the row no longer knows.
-func (plan *teamPlan) forget(view View) {
+func (plan *teamPlan) dropUnknownReports(view View) {
 	for m, report := range plan.reports {
-		_, known := view.Row.expects(m)
+		_, known := view.Row.generationOf(m)
 		if !known && report.Generation <= view.Row.Generation {
 			delete(plan.reports, m)
 		}
@@ -150,7 +150,7 @@
 }
 
 // wanted reports whether the row needs a new generation.
-func wanted(in PlanInput) bool {
+func needsRebase(in PlanInput) bool {
 	if in.Limit < in.Row.Limit {
 		return true
 	}
@@ -172,7 +172,7 @@
 // reclaimable reports whether a rebase would strike the member off: it is
 // gone, and in its generation nobody is known to be silent.
 func reclaimable(in PlanInput, m Member) bool {
-	if _, known := in.Row.expects(m); !known || !in.Gone[m] {
+	if _, known := in.Row.generationOf(m); !known || !in.Gone[m] {
 		return false
 	}
 	carry, carried := in.Row.Carried[m]
@@ -188,7 +188,7 @@
 }
 
 // missing returns requests to all members that have not reported yet.
-func missing(in PlanInput) []FreezeRequest {
+func missingReportRequests(in PlanInput) []FreezeRequest {
 	var requests []FreezeRequest
 	for _, m := range in.Row.members() {
 		if _, ok := reportOf(in, m); !ok && !in.Gone[m] {
--- a/internal/limit/grant.go
+++ b/internal/limit/row.go
@@ -24,7 +24,7 @@
 //
 // Within a generation Limit and each entry of Granted only rise. The sum of
 // Granted and of the carried bounds never exceeds Limit.
-type Grant struct {
+type Row struct {
 	Team       string `json:"team"`
 	Generation uint64 `json:"generation"`
 	Limit      int    `json:"limit"`
@@ -37,23 +37,23 @@
 
 // ParseGrant decodes a row's value and refuses one that would mint more than
 // its limit, since work must not start on a row that another hand has spoilt.
-func ParseGrant(value []byte) (Grant, error) {
-	var g Grant
-	if err := json.Unmarshal(value, &g); err != nil {
-		return Grant{}, fmt.Errorf("limit row is not valid JSON: %w", err)
+func ParseRow(value []byte) (Row, error) {
+	var row Row
+	if err := json.Unmarshal(value, &row); err != nil {
+		return Row{}, fmt.Errorf("limit row is not valid JSON: %w", err)
 	}
-	if g.Team == "" || g.Generation == 0 {
-		return Grant{}, fmt.Errorf("limit row of team %q has generation %d", g.Team, g.Generation)
+	if row.Team == "" || row.Generation == 0 {
+		return Row{}, fmt.Errorf("limit row of team %q has generation %d", row.Team, row.Generation)
 	}
-	for m, n := range g.Granted {
+	for m, n := range row.Granted {
 		if n < 0 {
-			return Grant{}, fmt.Errorf("limit row of team %q grants %d permits to %q", g.Team, n, m)
+			return Row{}, fmt.Errorf("limit row of team %q grants %d permits to %q", row.Team, n, m)
 		}
 	}
-	if minted := g.Minted(); minted > g.Limit {
-		return Grant{}, fmt.Errorf("limit row of team %q mints %d permits above its limit of %d", g.Team, minted, g.Limit)
+	if allocated := row.Allocated(); allocated > row.Limit {
+		return Row{}, fmt.Errorf("limit row of team %q mints %d permits above its limit of %d", row.Team, allocated, row.Limit)
 	}
-	return g, nil
+	return row, nil
 }
 
 // Carry bounds what unreported members hold in a generation that has ended.
@@ -65,12 +65,12 @@
 }
 
 // Minted returns the permits that the row accounts for.
-func (g Grant) Minted() int {
+func (row Row) Allocated() int {
 	sum := 0
-	for _, n := range g.Granted {
+	for _, n := range row.Granted {
 		sum += n
 	}
-	for _, carry := range g.Carried {
+	for _, carry := range row.Carried {
 		sum += carry.Bound
 	}
 	return sum
@@ -78,21 +78,21 @@
 
 // expects returns the generation that the member trades in according to the
 // row, and false when the row does not know the member.
-func (g Grant) expects(m Member) (uint64, bool) {
-	if carry, ok := g.Carried[m]; ok {
+func (row Row) generationOf(m Member) (uint64, bool) {
+	if carry, ok := row.Carried[m]; ok {
 		return carry.Generation, true
 	}
-	_, ok := g.Granted[m]
-	return g.Generation, ok
+	_, ok := row.Granted[m]
+	return row.Generation, ok
 }
 
 // members returns all members of the row in order.
-func (g Grant) members() []Member {
-	all := make([]Member, 0, len(g.Granted)+len(g.Carried))
-	for m := range g.Granted {
+func (row Row) members() []Member {
+	all := make([]Member, 0, len(row.Granted)+len(row.Carried))
+	for m := range row.Granted {
 		all = append(all, m)
 	}
-	for m := range g.Carried {
+	for m := range row.Carried {
 		all = append(all, m)
 	}
 	slices.Sort(all)
--- a/internal/manager/shards.go
+++ b/internal/manager/shards.go
@@ -168,11 +168,11 @@
 func (s *shards) reserve(team string, wanted int) (excess int) {
 	ledger := s.manager.node.Ledger()
 	if missing := wanted - s.reserved[team]; missing > 0 {
-		ledger.Expect(team, missing)
+		ledger.RecordWaiting(team, missing)
 	}
 	for s.reserved[team] < wanted {
 		status := ledger.Status(team)
-		if status.Held || status.InUse >= status.Holding || !ledger.Acquire(team) {
+		if status.Draining || status.InUse >= status.Holding || !ledger.Acquire(team) {
 			s.manager.node.Short(team)
 			break
 		}
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -96,11 +96,11 @@
 		return errors.Wrap(err, "read the limits")
 	}
 	for _, row := range rows {
-		grant, err := limit.ParseGrant(row.Value)
+		grant, err := limit.ParseRow(row.Value)
 		if err != nil {
 			return errors.Wrapf(err, "decode row %q", row.Key)
 		}
-		n.ledger.Adopt(grant)
+		n.ledger.Apply(grant)
 	}
 	n.permitsChanged()
 	return nil
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -46,8 +46,8 @@
 // Ask gives permits to a peer.
 func (s *Service) Ask(_ context.Context, request *peerpb.AskRequest) (*peerpb.AskReply, error) {
 	ask := peer.Ask(request)
-	transfer, ok := s.node.ledger.Give(ask)
-	if !ok && !s.node.ledger.Lists(ask.Team, ask.From) {
+	transfer, ok := s.node.ledger.HandleTransferRequest(ask)
+	if !ok && !s.node.ledger.IsMember(ask.Team, ask.From) {
 		// The team's row lists a new member that this process has not read of.
 		s.node.PollNow()
 	}
