--- a/internal/limit/actions_test.go
+++ b/internal/limit/actions_test.go
@@ -72,7 +72,7 @@
 	pick := s.intn(total)
 	for _, a := range s.actions {
 		if pick < a.weight {
-			a.do(w, p, s.intn(len(s.managers)))
+			a.do(s, p, s.intn(len(s.managers)))
 			return
 		}
 		pick -= a.weight
