--- a/internal/entry/permits_test.go
+++ b/internal/entry/permits_test.go
@@ -12,7 +12,7 @@
 // newTestPermits returns permits over a ledger that was granted n.
 func newTestPermits(n int) *permits {
 	ledger := limit.New(limit.Config{Self: "entry-1/1"})
-	ledger.Apply(limit.Row{Team: team, Generation: 1, Limit: n, Granted: map[limit.Member]int{"entry-1/1": n}})
+	ledger.Apply(limit.Allocation{Team: team, Generation: 1, Limit: n, Granted: map[limit.Member]int{"entry-1/1": n}})
 	return newPermits(ledger, func(string) {})
 }
 
--- a/internal/limit/account.go
+++ b/internal/limit/account.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// needDecayShift halves the remembered need with each tick.
+// demandDecayShift halves the remembered demand with each tick.
 const demandDecayShift = 1
 
-// account is one team's part of a Ledger. Should inUse exceed holding, then
-// nothing starts until enough has ended.
+// account is one team's state in a Ledger. While inUse exceeds holding, no
+// work starts.
 type account struct {
 	mu         sync.Mutex
 	generation uint64
@@ -24,20 +24,20 @@
 	members    map[Member]bool
 	sent       map[Member]int
 	received   map[Member]int
-	// confirmed holds the totals that peers are known to have counted.
+	// confirmed holds the transfer totals that peers have acknowledged.
 	confirmed map[Member]int
-	// lingering holds the ends of work whose outcome is unknown; all of it is
-	// part of inUse.
+	// lingering holds the latest end times of work whose outcome is unknown.
+	// inUse includes this work.
 	lingering []time.Time
 	// refused counts the refusals since the last tick.
 	refused      int
 	recentDemand int
-	// pledges are permits kept for one peer each, until two ticks after its
-	// last Ask.
+	// reservations holds permits back for single peers. A reservation expires
+	// two ticks after the peer's last request.
 	reservations map[Member]reservation
 }
 
-// pledge is what an account keeps for a peer that asked in vain.
+// reservation holds permits for a peer whose request was not fully met.
 type reservation struct {
 	permits int
 	renewed bool
@@ -53,8 +53,9 @@
 	}
 }
 
-// adopt moves the account forward to the row; older rows change nothing.
-func (a *account) applyRow(self Member, row Row) {
+// applyRow updates the account from a row. Rows of older generations are
+// ignored.
+func (a *account) applyRow(self Member, row Allocation) {
 	switch {
 	case row.Generation < a.generation:
 		return
@@ -73,9 +74,9 @@
 	a.addMembers(row)
 }
 
-// raise takes over what was added to the row within the generation. A frozen
-// account takes nothing, since its report must remain an upper bound.
-func (a *account) applyIncrease(self Member, row Row) {
+// applyIncrease applies what was added to the row within the generation. A
+// frozen account ignores it, since its report must remain an upper bound.
+func (a *account) applyIncrease(self Member, row Allocation) {
 	if a.frozen {
 		return
 	}
@@ -87,8 +88,9 @@
 	}
 }
 
-// stay keeps the account in the generation in which the row carries it. An
-// account that never saw that generation enters it with what it holds.
+// applyCarry keeps the account in the generation from which the row carries
+// it. An account that missed that generation enters it with the permits it
+// holds.
 func (a *account) applyCarry(carry Carry) {
 	if carry.Generation <= a.generation {
 		return
@@ -98,7 +100,7 @@
 	a.frozen = true
 }
 
-// enter starts a generation without any trade.
+// startGeneration moves the account to a generation, with no transfers yet.
 func (a *account) startGeneration(generation uint64) {
 	a.generation = generation
 	a.frozen = false
@@ -110,7 +112,7 @@
 	clear(a.members)
 }
 
-func (a *account) addMembers(row Row) {
+func (a *account) addMembers(row Allocation) {
 	for m := range row.Granted {
 		a.members[m] = true
 	}
@@ -135,7 +137,7 @@
 	}
 }
 
-// expire releases lingering work whose time has passed.
+// expire releases the permits of lingering work whose end time has passed.
 func (a *account) expire(now time.Time) {
 	a.lingering = slices.DeleteFunc(a.lingering, func(until time.Time) bool {
 		if until.After(now) {
@@ -146,8 +148,8 @@
 	})
 }
 
-// current estimates how many permits could be in use now. A refusal doubles it
-// at least, because a caller may stop asking after the first one.
+// currentDemand estimates how many permits could be in use now. A refusal at
+// least doubles the estimate, because callers may not retry after it.
 func (a *account) currentDemand() int {
 	if a.refused == 0 {
 		return a.inUse
@@ -155,12 +157,13 @@
 	return max(a.inUse+a.refused, 2*a.inUse)
 }
 
-// demand is the current or the recent need, whichever is greater.
+// demand returns the greater of the current and the recent demand.
 func (a *account) demand() int {
 	return max(a.currentDemand(), a.recentDemand)
 }
 
-// observe ages the remembered need and the pledges at the end of a tick.
+// endTick decays the remembered demand and expires reservations that were not
+// renewed since the last tick.
 func (a *account) endTick() {
 	a.recentDemand = max(a.currentDemand(), a.recentDemand>>demandDecayShift)
 	a.refused = 0
@@ -173,7 +176,7 @@
 	}
 }
 
-// pledged returns the permits kept for all peers.
+// reserved returns the permits reserved for all peers.
 func (a *account) reserved() int {
 	sum := 0
 	for _, r := range a.reservations {
@@ -182,9 +185,10 @@
 	return sum
 }
 
-// spare returns how many of want permits the account parts with: all that it
-// has not needed lately, at least half of what is idle, and what it pledged to
-// this peer; never what is kept for another, who would starve otherwise.
+// transferable returns how many of want permits the account can transfer to
+// the peer: the idle permits that exceed its demand, but at least half of the
+// idle ones, and at least those reserved for the peer. Permits reserved for
+// other peers are never transferred, since those peers would starve.
 func (a *account) transferable(to Member, want int) int {
 	own := a.reservations[to].permits
 	idle := a.holding - a.inUse - (a.reserved() - own)
@@ -195,18 +199,20 @@
 	return min(want, max(unneeded, idle/2, min(idle, own)))
 }
 
-// pledge keeps permits back, as work ends, for a peer that holds fewer and got
-// less than it asked for; without it a busy member would starve the peer.
+// reserve sets permits aside, as work ends, for a peer that holds fewer and
+// received less than it requested. Without it a busy member would starve the
+// peer.
 func (a *account) reserve(to Member, want, peerHolding int) {
 	if ahead := a.holding - peerHolding; want > 0 && ahead > 1 && !a.frozen {
 		own := a.reservations[to].permits
-		// All pledges together leave the account half of what it holds.
+		// All reservations together leave the account half of what it holds.
 		free := max(0, a.holding/2-(a.reserved()-own))
 		a.reservations[to] = reservation{permits: max(own, min(want, ahead/2, free)), renewed: true}
 	}
 }
 
-func (a *account) debit(to Member, n int) int {
+// issue removes n permits and returns the total sent to the peer.
+func (a *account) issue(to Member, n int) int {
 	a.holding -= n
 	if r, ok := a.reservations[to]; ok {
 		r.permits = max(0, r.permits-n)
@@ -216,7 +222,8 @@
 	return a.sent[to]
 }
 
-// receive counts a transfer, and returns false when it may count later.
+// credit adds a transfer's permits. It returns false if the transfer belongs
+// to a later generation and must be sent again.
 func (a *account) credit(t Transfer) bool {
 	if t.Generation > a.generation {
 		return false
@@ -231,7 +238,7 @@
 	return true
 }
 
-// freeze ends the trade of the current generation for good.
+// freeze ends transfers in the current generation. It can't be undone.
 func (a *account) freeze(mode FreezeMode, keep int) {
 	a.frozen = true
 	clear(a.reservations)
--- a/internal/limit/actions_test.go
+++ b/internal/limit/actions_test.go
@@ -7,13 +7,13 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// action is one thing that may happen next, to a member and a manager.
+// action is a weighted simulation step on a process and the i-th manager.
 type action struct {
 	weight int
 	do     func(s *simulation, p *process, i int)
 }
 
-// common actions happen in every run.
+// baseActions are part of every run.
 var baseActions = []action{
 	{6, func(s *simulation, _ *process, _ int) { s.burst(s.busiest()) }},
 	{2, func(s *simulation, _ *process, _ int) { s.flood() }},
@@ -28,13 +28,13 @@
 	{2, func(s *simulation, _ *process, _ int) { s.advance(time.Duration(s.intn(5000)) * time.Millisecond) }},
 }
 
-// disturbances are weighed anew for each run, so that some runs lack some.
+// faultActions get random weights in each run, so that some runs lack some.
 var faultActions = []action{
 	{2, func(s *simulation, _ *process, _ int) { s.withRandomWork(s.timeOut) }},
 	{1, func(s *simulation, p *process, _ int) { s.pause(p, true) }},
 	{2, func(s *simulation, p *process, _ int) { s.pause(p, false) }},
-	{1, func(s *simulation, _ *process, _ int) { s.partition(true) }},
-	{1, func(s *simulation, _ *process, _ int) { s.partition(false) }},
+	{1, func(s *simulation, _ *process, _ int) { s.cut(true) }},
+	{1, func(s *simulation, _ *process, _ int) { s.cut(false) }},
 	{1, func(s *simulation, p *process, _ int) { s.crashSometimes(p) }},
 	{1, func(s *simulation, _ *process, _ int) { s.setFaults(table.Faults{Down: true}) }},
 	{1, func(s *simulation, _ *process, _ int) { s.setFaults(table.Faults{LoseAnswers: true}) }},
@@ -44,7 +44,7 @@
 	{2, func(s *simulation, p *process, _ int) { s.replayRow(p) }},
 }
 
-// weigh draws the weights of this run.
+// drawWeights draws the weights of this run.
 func (s *simulation) drawWeights() {
 	s.actions = slices.Clone(baseActions)
 	for _, a := range faultActions {
@@ -53,7 +53,8 @@
 	}
 }
 
-// busiest returns the member that has most of the load for now, or another.
+// busiest returns the member that currently has most of the load, or a random
+// one.
 func (s *simulation) busiest() *process {
 	if s.intn(2) == 0 {
 		return s.procs[s.intn(len(s.procs))]
@@ -79,14 +80,14 @@
 	}
 }
 
-// burst starts some work at once.
+// burst starts several pieces of work at one member.
 func (s *simulation) burst(p *process) {
 	for range 1 + s.intn(6) {
 		s.start(p)
 	}
 }
 
-// flood starts all that anyone may.
+// flood starts as much work as all members are permitted.
 func (s *simulation) flood() {
 	for _, p := range s.procs {
 		for range 9 {
@@ -104,14 +105,14 @@
 	}
 }
 
-// cut takes a data centre's members away from table and managers, but not from
-// each other and the other members.
-func (s *simulation) partition(cut bool) {
+// cut separates a data centre's members from the table and the managers, but
+// not from each other and the other members.
+func (s *simulation) cut(cut bool) {
 	if cut {
 		s.counts["cut"]++
 	}
 	for _, p := range s.procs[:2] {
-		p.partitioned = cut
+		p.cut = cut
 	}
 }
 
@@ -121,7 +122,7 @@
 	}
 }
 
-// one applies f to one piece of running work.
+// withRandomWork applies f to one piece of running work.
 func (s *simulation) withRandomWork(f func(i int)) {
 	if len(s.running) > 0 {
 		f(s.intn(len(s.running)))
@@ -139,7 +140,7 @@
 }
 
 func (s *simulation) replayRow(p *process) {
-	if len(s.committedRows) > 0 && !p.paused && !p.partitioned {
+	if len(s.committedRows) > 0 && !p.paused && !p.cut {
 		s.adopt(p, s.committedRows[s.intn(len(s.committedRows))])
 	}
 }
--- a/internal/limit/bench_test.go
+++ b/internal/limit/bench_test.go
@@ -10,17 +10,17 @@
 	"github.com/lovagedyke/lovagedyke/internal/limit"
 )
 
-// rowOf returns a team's row over n members.
-func testRow(team string, n int) limit.Row {
-	row := limit.Row{Team: team, Generation: 1, Limit: 100 * n, Granted: map[limit.Member]int{}}
+// testRow returns a team's row with n members.
+func testRow(team string, n int) limit.Allocation {
+	row := limit.Allocation{Team: team, Generation: 1, Limit: 100 * n, Granted: map[limit.Member]int{}}
 	for i := range n {
 		row.Granted[limit.Member(fmt.Sprintf("entry-%02d/1700000000000000000", i))] = 100
 	}
 	return row
 }
 
-// BenchmarkLedger is one gossip round of a ledger whose members have traded,
-// and the memory and the row of each team.
+// BenchmarkLedger measures one gossip round of a ledger with transfers between
+// all members, and reports memory and row size per team.
 func BenchmarkLedger(b *testing.B) {
 	for _, n := range []struct{ members, teams int }{{7, 6}, {7, 30}, {7, 65}, {7, 130}, {14, 130}, {24, 130}, {48, 130}} {
 		b.Run(fmt.Sprintf("members=%d/teams=%d", n.members, n.teams), func(b *testing.B) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkPlannerRound is one look at all teams' rows, decoding included, while
+// BenchmarkPlannerRound measures decoding and planning all teams' rows while
 // nothing changes.
 func BenchmarkPlannerRound(b *testing.B) {
 	for _, n := range []struct{ members, teams int }{{7, 6}, {7, 30}, {7, 65}, {7, 130}, {14, 130}, {24, 130}, {48, 130}} {
@@ -82,7 +82,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for _, value := range rows {
-					var row limit.Row
+					var row limit.Allocation
 					if err := json.Unmarshal(value, &row); err != nil {
 						b.Fatal(err)
 					}
--- a/internal/limit/check_test.go
+++ b/internal/limit/check_test.go
@@ -9,7 +9,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// check compares what really runs with the limit in the table.
+// check compares the running work with the limit in the table.
 func (s *simulation) check() error {
 	s.store.SetFaults(table.Faults{})
 	defer s.store.SetFaults(s.faults)
@@ -39,13 +39,13 @@
 	return nil
 }
 
-// settle ends all disturbance and work, and returns what the live members hold
-// once the managers have nothing left to do.
+// quiesce ends all faults and work, and returns the permits that the live
+// members hold once the managers have nothing left to do.
 func (s *simulation) quiesce() (int, error) {
 	s.setFaults(table.Faults{})
 	for _, p := range s.procs {
 		p.paused = false
-		p.partitioned = false
+		p.cut = false
 	}
 	for range 40 {
 		s.advance(time.Second)
--- a/internal/limit/ledger.go
+++ b/internal/limit/ledger.go
@@ -1,43 +1,45 @@
 // Package limit keeps the running work of each team at or below its upper
 // limit across all members, without a consensus protocol.
 //
-// The limit is a number of permits. The team's table row (Grant) mints them to
-// members once per generation; after that members pass permits to each other
-// directly (Transfer). A member starts work only under a permit in hand, and a
-// permit is free again only when its work is known to have ended.
+// The limit is a number of permits. The team's table row (Allocation) grants
+// them to members once per generation; after that members transfer permits to
+// each other directly (Transfer). A member starts work only with a permit that
+// it holds, and a permit is free again only when its work is known to have
+// ended.
 //
-// Permits come back from lost members, and limits are lowered, by a rebase: a
-// manager freezes the trade of a generation, collects the members' reports and
-// commits the next generation on condition of the row's version. Members that
-// did not report are carried in their old generation with a joint upper bound.
+// A rebase recovers permits from lost members and lowers limits: a manager
+// freezes transfers in a generation, collects the members' reports and commits
+// the next generation on condition of the row's version. Members that did not
+// report are carried in their old generation with a joint upper bound.
 //
 // # Usage
 //
-// An entry owns a Ledger and feeds it rows and messages; it asks before each
-// dispatch:
+// An entry owns a Ledger, passes it rows and messages, and acquires a permit
+// before each dispatch:
 //
 //	ledger := limit.New(limit.Config{Self: "entry-1/17"})
-//	ledger.Adopt(row)
+//	ledger.Apply(row)
 //	if !ledger.Acquire("tanoa") {
-//		return // refuse: not run
+//		return // refuse the request; no work has run
 //	}
 //	// dispatch; then exactly one of
 //	ledger.Release("tanoa")               // the endpoint answered
 //	ledger.Linger("tanoa", startedAt.Add(longestRun)) // the outcome is unknown
 //
-// With each gossip round the entry calls Tick, tells the peers its Statuses,
-// sends them what Resend and Wanted return, and answers an Ask with Give. A
-// transfer goes to the peer's Receive; its answer true goes to Confirm. The
-// entry answers a FreezeRequest with Freeze and sends Reports to the managers.
+// In each gossip round the entry calls Tick, sends its Statuses to the peers,
+// and sends them the messages from Unconfirmed and TransferRequests. It answers
+// a TransferRequest with HandleTransferRequest. A peer passes a transfer to
+// Receive; if that returns true, the sender calls Confirm. The entry answers a
+// FreezeRequest with Freeze and sends Reports to the managers.
 //
 // A manager owns a Planner and calls Step with each reading of a row:
 //
 //	decision := planner.Step(now, view)
-//	// send decision.Freezes, pass the answers to planner.Handle, and when
-//	// decision.Verdict is limit.Commit, write decision.Next on condition of
-//	// the version at which view.Row was read.
+//	// send decision.Freezes, pass the answers to planner.HandleReport, and
+//	// when decision.Action is limit.Commit, write decision.Next on condition
+//	// of the version at which view.Row was read.
 //
-// A lost answer of the commit needs no care: the next Step reads the row.
+// A lost reply to the commit needs no handling: the next Step reads the row.
 package limit
 
 import (
@@ -51,7 +53,7 @@
 
 // Config constructs a Ledger.
 type Config struct {
-	// Self names this incarnation of the process.
+	// Self is the member name of this incarnation of the process.
 	Self Member
 }
 
@@ -59,7 +61,7 @@
 // use; each team's state has its own lock.
 type Ledger struct {
 	self Member
-	// grow serialises additions to accounts, which is replaced as a whole.
+	// createMu serialises additions to accounts, a copy-on-write map.
 	createMu sync.Mutex
 	accounts atomic.Pointer[map[string]*account]
 }
@@ -80,7 +82,7 @@
 	return a
 }
 
-// open returns the team's locked account, which it creates if need be.
+// lockOrCreate returns the team's locked account, creating it if necessary.
 func (l *Ledger) lockOrCreate(team string) *account {
 	if a := l.lock(team); a != nil {
 		return a
@@ -98,7 +100,7 @@
 	return a
 }
 
-// each calls f with every team's locked account, in order of the teams' names.
+// forEach calls f with every team's locked account, ordered by team name.
 func (l *Ledger) forEach(f func(team string, a *account)) {
 	accounts := *l.accounts.Load()
 	for _, team := range slices.Sorted(maps.Keys(accounts)) {
@@ -109,15 +111,16 @@
 	}
 }
 
-// Adopt takes over a committed row, from the table or from a peer. Rows may
-// come late, repeated and in any order.
-func (l *Ledger) Apply(row Row) {
+// Apply updates the team's permits from a committed row, read from the table
+// or received from a peer. Rows may arrive late, repeatedly and in any order.
+func (l *Ledger) Apply(row Allocation) {
 	a := l.lockOrCreate(row.Team)
 	defer a.mu.Unlock()
 	a.applyRow(l.self, row)
 }
 
-// Acquire takes a permit of the team; without one the work must not start.
+// Acquire takes a permit of the team. If it returns false, the work must not
+// start.
 func (l *Ledger) Acquire(team string) bool {
 	a := l.lock(team)
 	if a == nil {
@@ -128,8 +131,8 @@
 	return ok
 }
 
-// Expect tells how many requests of the team wait for a permit; it counts as
-// need until the next Tick.
+// RecordWaiting records how many requests of the team wait for a permit. They
+// count as demand until the next Tick.
 func (l *Ledger) RecordWaiting(team string, waiting int) {
 	a := l.lockOrCreate(team)
 	defer a.mu.Unlock()
@@ -144,16 +147,17 @@
 	a.release()
 }
 
-// Linger leaves a permit in use until the given time, for work that may still
-// run although nobody waits for it.
+// Linger keeps a permit in use until the given time, for work that may still
+// run although its caller no longer waits.
 func (l *Ledger) Linger(team string, until time.Time) {
 	a := l.lockOrCreate(team)
 	defer a.mu.Unlock()
 	a.lingering = append(a.lingering, until)
 }
 
-// Settle releases a permit that lingers until the given time, because its work
-// is now known to have ended. It does nothing when that time has passed.
+// ReleaseLingering releases a permit that lingers until the given time, because
+// its work is now known to have ended. It does nothing if that permit has
+// already been released by Tick.
 func (l *Ledger) ReleaseLingering(team string, until time.Time) {
 	a := l.lockOrCreate(team)
 	defer a.mu.Unlock()
@@ -165,8 +169,9 @@
 	a.release()
 }
 
-// Tick releases lingering permits whose time has come and ages the need that
-// Give keeps back. Call it once a gossip round.
+// Tick releases lingering permits whose time has passed, and decays the demand
+// that HandleTransferRequest holds permits back for. Call it once a gossip
+// round.
 func (l *Ledger) Tick(now time.Time) {
 	l.forEach(func(_ string, a *account) {
 		a.expire(now)
@@ -174,9 +179,9 @@
 	})
 }
 
-// Wanted returns the requests for permits to send, given what each peer last
-// told: for idle permits, the most idle peer first, and for the rest to the
-// peer that holds most.
+// TransferRequests returns the requests for permits to send, given each peer's
+// last status. Peers with idle permits are asked first, in descending order. If
+// there are none, the peer that holds the most permits is asked.
 func (l *Ledger) TransferRequests(team string, peers map[Member]Status) []TransferRequest {
 	a := l.lock(team)
 	if a == nil {
@@ -205,14 +210,14 @@
 	return TransferRequest{Team: team, Generation: a.generation, From: l.self, To: to, Want: want, Holding: a.holding}
 }
 
-// byIdle returns the peers in order of their idle permits, the most first.
+// sortedByIdle returns the peers in descending order of their idle permits.
 func sortedByIdle(peers map[Member]Status) []Member {
 	return slices.SortedFunc(maps.Keys(peers), func(p, q Member) int {
 		return cmp.Or(peers[q].Idle-peers[p].Idle, cmp.Compare(p, q))
 	})
 }
 
-// richest returns the peer that holds most permits.
+// largestHolder returns the peer that holds the most permits.
 func largestHolder(peers map[Member]Status) (Member, bool) {
 	order := slices.SortedFunc(maps.Keys(peers), func(p, q Member) int {
 		return cmp.Or(peers[q].Holding-peers[p].Holding, cmp.Compare(p, q))
@@ -223,8 +228,9 @@
 	return order[0], true
 }
 
-// Give answers a peer's request with a transfer, or false when it has nothing
-// to spare now or the peer is not a member of the same generation.
+// HandleTransferRequest answers a peer's request with a transfer. It returns
+// false if no permits are available now or the peer is not a member of the same
+// generation.
 func (l *Ledger) HandleTransferRequest(request TransferRequest) (Transfer, bool) {
 	a := l.lock(request.Team)
 	if a == nil {
@@ -235,12 +241,12 @@
 		return Transfer{}, false
 	}
 	n := max(0, a.transferable(request.From, request.Want))
-	transfer, ok := l.transfer(a, request, n)
+	transfer, ok := l.issue(a, request, n)
 	a.reserve(request.From, request.Want-n, request.Holding+n)
 	return transfer, ok
 }
 
-// Leave passes all idle permits to the peer, for a planned stop.
+// TransferIdle transfers all idle permits to the peer, for a planned stop.
 func (l *Ledger) TransferIdle(team string, to Member) (Transfer, bool) {
 	a := l.lock(team)
 	if a == nil {
@@ -251,15 +257,16 @@
 	if a.frozen {
 		n = 0
 	}
-	return l.transfer(a, TransferRequest{Team: team, Generation: a.generation, From: to}, n)
+	return l.issue(a, TransferRequest{Team: team, Generation: a.generation, From: to}, n)
 }
 
-// trades reports whether the asker is another member of the same generation.
+// isPeer reports whether the request's sender is another member of the same
+// generation.
 func (l *Ledger) isPeer(a *account, request TransferRequest) bool {
 	return request.Generation == a.generation && request.From != l.self && a.members[request.From]
 }
 
-func (l *Ledger) transfer(a *account, request TransferRequest, n int) (Transfer, bool) {
+func (l *Ledger) issue(a *account, request TransferRequest, n int) (Transfer, bool) {
 	if n <= 0 || !l.isPeer(a, request) {
 		return Transfer{}, false
 	}
@@ -268,12 +275,13 @@
 		Generation: a.generation,
 		From:       l.self,
 		To:         request.From,
-		Total:      a.debit(request.From, n),
+		Total:      a.issue(request.From, n),
 	}, true
 }
 
-// Receive takes over a peer's transfer; one of another generation or already
-// counted changes nothing. It reports whether the peer may stop repeating it.
+// Receive credits a peer's transfer. A transfer of another generation or one
+// already counted changes nothing. It reports whether the peer may stop
+// resending the transfer.
 func (l *Ledger) Receive(t Transfer) bool {
 	if t.To != l.self {
 		return true
@@ -283,7 +291,7 @@
 	return a.credit(t)
 }
 
-// Confirm notes that the peer answered true to the transfer.
+// Confirm records that the peer acknowledged the transfer.
 func (l *Ledger) Confirm(t Transfer) {
 	a := l.lockOrCreate(t.Team)
 	defer a.mu.Unlock()
@@ -292,8 +300,8 @@
 	}
 }
 
-// Resend returns the latest transfer to each peer that has not confirmed it,
-// to be repeated with each gossip round because any single one may be lost.
+// Unconfirmed returns the latest transfer to each peer that has not confirmed
+// it. It is resent in each gossip round, because any message may be lost.
 func (l *Ledger) Unconfirmed() []Transfer {
 	var transfers []Transfer
 	l.forEach(func(team string, a *account) {
@@ -309,8 +317,8 @@
 	return transfers
 }
 
-// Freeze answers a manager's request, or returns false when the request is
-// older than the generation in force here or does not know this member.
+// Freeze answers a manager's request with a report. It returns false if the
+// request is older than the ledger's generation or doesn't list this member.
 func (l *Ledger) Freeze(request FreezeRequest) (Report, bool) {
 	generation, known := request.Row.generationOf(l.self)
 	if !known || request.To != l.self {
@@ -326,8 +334,8 @@
 	return a.report(request.Row.Team, l.self), true
 }
 
-// Reports returns the report of each frozen team, so that a manager that did
-// not ask learns that the generation must be rebased.
+// Reports returns the report of each frozen team. They are also sent to
+// managers that did not ask, so that those learn that a rebase is needed.
 func (l *Ledger) Reports() []Report {
 	var reports []Report
 	l.forEach(func(team string, a *account) {
@@ -338,7 +346,7 @@
 	return reports
 }
 
-// Status returns the team's figures; an unknown team has none.
+// Status returns the team's permit counts, all 0 for an unknown team.
 func (l *Ledger) Status(team string) Status {
 	a := l.lock(team)
 	if a == nil {
@@ -348,7 +356,7 @@
 	return a.status(team)
 }
 
-// Statuses returns the figures of all teams, for gossip.
+// Statuses returns the permit counts of all teams, for gossip.
 func (l *Ledger) Statuses() []Status {
 	var statuses []Status
 	l.forEach(func(team string, a *account) {
@@ -357,7 +365,7 @@
 	return statuses
 }
 
-// Snapshot returns the whole state for the state dump.
+// Snapshot returns the state of all teams for the state dump.
 func (l *Ledger) Snapshot() Snapshot {
 	snapshot := Snapshot{Self: l.self, Teams: []TeamSnapshot{}}
 	l.forEach(func(team string, a *account) {
--- a/internal/limit/ledger_test.go
+++ b/internal/limit/ledger_test.go
@@ -10,21 +10,21 @@
 
 const gossipRound = 200 * time.Millisecond
 
-// fleet is a number of ledgers with one planner and a faultless network.
+// fleet is a set of ledgers with one planner and a reliable network.
 type fleet struct {
 	now     time.Time
-	row     limit.Row
+	row     limit.Allocation
 	view    limit.View
 	planner *limit.Planner
 	ledgers map[limit.Member]*limit.Ledger
-	// outage keeps the managers from the table.
+	// outage stops the planner, as if the table were unavailable.
 	outage bool
 }
 
 func newFleet(members, permits int) *fleet {
 	f := &fleet{
 		now:     time.Unix(1000, 0),
-		row:     limit.Row{Team: team},
+		row:     limit.Allocation{Team: team},
 		view:    limit.View{Limit: permits, LongestRun: longestRun},
 		planner: limit.NewPlanner(limit.PlannerConfig{ReportTimeout: time.Second}),
 		ledgers: make(map[limit.Member]*limit.Ledger),
@@ -43,7 +43,7 @@
 	return f.ledgers[f.view.Live[i]]
 }
 
-// crash ends the last member, with evidence at once.
+// crash ends the last member. The planner has evidence of it at once.
 func (f *fleet) crash() {
 	last := len(f.view.Live) - 1
 	f.view.Ended = append(f.view.Ended, f.view.Live[last])
@@ -51,7 +51,7 @@
 	f.view.Live = f.view.Live[:last]
 }
 
-// round is one gossip round and one step of the planner.
+// round runs one gossip round and one step of the planner.
 func (f *fleet) round() {
 	f.now = f.now.Add(gossipRound)
 	for _, m := range f.view.Live {
@@ -69,7 +69,7 @@
 	}
 }
 
-// ask has one member ask others for what it is short of.
+// ask makes one member request its missing permits from others.
 func (f *fleet) ask(from int, others ...int) {
 	peers := make(map[limit.Member]limit.Status)
 	for _, other := range others {
@@ -87,7 +87,7 @@
 	}
 }
 
-// manage is one step of the planner and its effects.
+// manage runs one step of the planner and applies its decision.
 func (f *fleet) manage() {
 	f.view.Row = f.row
 	decision := f.planner.Step(f.now, f.view)
@@ -132,7 +132,7 @@
 }
 
 // TestOneMemberUsesLimit moves the whole load to one member while the table is
-// down.
+// unavailable. The member must obtain nearly all permits from its peers.
 func TestOneMemberUsesLimit(t *testing.T) {
 	const maxRounds, wantShare = 10, 0.95
 	tests := map[string]struct {
@@ -168,7 +168,7 @@
 				rounds++
 			}
 			got := float64(running) / float64(tc.permits)
-			t.Logf("share of the limit %.3f after %d gossip rounds, %.3f without trade", got, rounds, withoutTransfers)
+			t.Logf("share of the limit %.3f after %d gossip rounds, %.3f without transfers", got, rounds, withoutTransfers)
 			if got < wantShare {
 				t.Errorf("share of the limit: got %.3f, want %.2f", got, wantShare)
 			}
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestBusyMemberSharesWithPeer lets one member hold and use the whole limit
-// before a second one is flooded too: both must come to about half.
+// TestBusyMemberSharesWithPeer lets one member use the whole limit before a
+// second one gets as much load. Both must end up with about half.
 func TestBusyMemberSharesWithPeer(t *testing.T) {
 	f := newFleet(2, 40)
 	for range 5 {
@@ -198,8 +198,9 @@
 	}
 }
 
-// TestQuietMemberGetsPermitFromBusyPeers has two members that use the whole limit
-// and ask each other after each end, and a third that asks once a round.
+// TestQuietMemberGetsPermitFromBusyPeers guards against starvation: two members
+// use the whole limit and request each other's permits whenever work ends,
+// while a third one requests a permit only once a round.
 func TestQuietMemberGetsPermitFromBusyPeers(t *testing.T) {
 	const permits, maxRounds = 12, 10
 	f := newFleet(3, permits)
@@ -263,14 +264,14 @@
 	}
 }
 
-// TestLowerLimit lowers a limit under load: nothing that runs is cut, and
-// nothing starts until what runs is below the new limit.
+// TestLowerLimit lowers a limit under load. Running work must not be
+// interrupted, and none may start until less runs than the new limit.
 func TestLowerLimit(t *testing.T) {
 	f := newFleet(3, 12)
 	running := []int{f.start(0, 4), f.start(1, 4), f.start(2, 2)}
 	f.view.Limit = 5
-	f.round() // asks for reports
-	f.round() // holds
+	f.round() // requests reports
+	f.round() // requests that the members drain
 	total := running[0] + running[1] + running[2]
 	for total > 5 {
 		for i := range running {
@@ -308,7 +309,7 @@
 	names := make([]string, teams)
 	for i := range names {
 		names[i] = fmt.Sprintf("team-%d", i)
-		ledger.Apply(limit.Row{Team: names[i], Generation: 1, Limit: 1000, Granted: map[limit.Member]int{"entry-1/1": 1000}})
+		ledger.Apply(limit.Allocation{Team: names[i], Generation: 1, Limit: 1000, Granted: map[limit.Member]int{"entry-1/1": 1000}})
 	}
 	for name, spread := range map[string]int{"one-team": 1, "130-teams": teams} {
 		b.Run(name, func(b *testing.B) {
@@ -330,7 +331,7 @@
 		b.Run(fmt.Sprintf("%d-teams", teams), func(b *testing.B) {
 			ledger := limit.New(limit.Config{Self: "entry-1/1"})
 			for i := range teams {
-				ledger.Apply(limit.Row{Team: fmt.Sprint(i), Generation: 1, Limit: 9, Granted: map[limit.Member]int{"entry-1/1": 9}})
+				ledger.Apply(limit.Allocation{Team: fmt.Sprint(i), Generation: 1, Limit: 9, Granted: map[limit.Member]int{"entry-1/1": 9}})
 			}
 			for b.Loop() {
 				ledger.Tick(time.Unix(1, 0))
@@ -368,7 +369,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, err := limit.ParseRow([]byte(tc.value))
+			_, err := limit.ParseAllocation([]byte(tc.value))
 			if got := err != nil; got != tc.wantErr {
 				t.Errorf("error: got %v, want error %v", err, tc.wantErr)
 			}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// provoked lists what a run of the fuzzer must have met to count.
+// requiredEvents lists the events that the simulated runs together must have
+// met.
 var requiredEvents = []string{
 	"step", "started", "refused", "timeout", "transfers", "freezes", "lost", "doubled", "commit", "conflict",
 	"lost answer", "commit refused", "outage", "pause", "wake", "cut", "crash", "crash with work", "raised", "lowered", "carried group",
@@ -36,16 +37,16 @@
 			t.Fatalf("live members hold %d permits after quiescence, want %d", got, want)
 		}
 	})
-	t.Log("provoked:", total)
+	t.Log("events:", total)
 	for _, name := range requiredEvents {
 		if total[name] == 0 {
-			t.Errorf("%s: provoked none", name)
+			t.Errorf("event %q: got none, want some", name)
 		}
 	}
 }
 
-// TestSimulationDetectsMutations takes out one rule at a time; the oracle must see
-// more running than the limit.
+// TestSimulationDetectsMutations disables one protection at a time. The check
+// must then find more running work than the limit.
 func TestSimulationDetectsMutations(t *testing.T) {
 	const maxRuns, steps = 3000, 600
 	tests := map[string]struct {
@@ -53,17 +54,17 @@
 		// stream selects random runs that meet the mutation early.
 		stream uint64
 	}{
-		"accept a transfer after the report":      {broken: mutations{acceptAfterReport: true}, stream: 5},
-		"add totals of repeated transfers":        {broken: mutations{addTotals: true}, stream: 5},
-		"adopt a generation while carried":        {broken: mutations{adoptWhileCarried: true}, stream: 5},
-		"commit without a condition":              {broken: mutations{blindCommit: true}, stream: 2},
-		"give without debit":                      {broken: mutations{transferWithoutDebit: true}, stream: 5},
-		"lease by wall clock":                     {broken: mutations{leaseByClock: true}, stream: 4},
-		"lower without collecting":                {broken: mutations{lowerAtOnce: true}, stream: 5},
-		"reclaim before the longest run is over":  {broken: mutations{noLongestRun: true}, stream: 5},
-		"release on timeout":                      {broken: mutations{releaseOnTimeout: true}, stream: 5},
-		"strike off the gone while one is silent": {broken: mutations{dropGoneEarly: true}, stream: 4},
-		"report nothing held":                     {broken: mutations{reportNothingHeld: true}, stream: 5},
+		"accept a transfer after the report":     {broken: mutations{acceptAfterReport: true}, stream: 5},
+		"add totals of repeated transfers":       {broken: mutations{addTotals: true}, stream: 5},
+		"adopt a generation while carried":       {broken: mutations{adoptWhileCarried: true}, stream: 5},
+		"commit without a condition":             {broken: mutations{blindCommit: true}, stream: 2},
+		"give without debit":                     {broken: mutations{transferWithoutDebit: true}, stream: 5},
+		"lease by wall clock":                    {broken: mutations{leaseByClock: true}, stream: 4},
+		"lower without collecting":               {broken: mutations{lowerAtOnce: true}, stream: 5},
+		"reclaim before the longest run is over": {broken: mutations{noLongestRun: true}, stream: 5},
+		"release on timeout":                     {broken: mutations{releaseOnTimeout: true}, stream: 5},
+		"drop the gone before all have reported": {broken: mutations{dropGoneEarly: true}, stream: 4},
+		"report nothing held":                    {broken: mutations{reportNothingHeld: true}, stream: 5},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/limit/manager_test.go
+++ b/internal/limit/manager_test.go
@@ -11,8 +11,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// manager steps a planner; pending is decided but not yet committed. Its lists
-// of processes lag behind.
+// manager steps a planner. pending is decided but not yet committed. The lists
+// of processes may be out of date.
 type manager struct {
 	planner     *limit.Planner
 	pending     *table.Txn
@@ -36,7 +36,7 @@
 	}
 }
 
-// manage lets a manager read and decide; it commits what it decided later.
+// manage lets a manager read the row and decide. The commit follows later.
 func (s *simulation) manage(i int) {
 	m := s.managers[i]
 	row, version, ok := s.row()
@@ -64,8 +64,9 @@
 	s.propose(m, decision.Next, version.Version)
 }
 
-// strikeOff grants a live member what a carried one had whose work has ended.
-func (s *simulation) dropGone(next limit.Row) {
+// dropGone grants a live member the permits of a carried one whose work has
+// ended.
+func (s *simulation) dropGone(next limit.Allocation) {
 	for gone, carry := range next.Carried {
 		diedAt, dead := s.died[gone]
 		if !dead || s.now.Before(diedAt.Add(longestRun)) || carry.Bound <= 0 {
@@ -79,7 +80,7 @@
 	}
 }
 
-func (s *simulation) propose(m *manager, next limit.Row, version uint64) {
+func (s *simulation) propose(m *manager, next limit.Allocation, version uint64) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		panic(err)
@@ -91,7 +92,7 @@
 }
 
 func (s *simulation) freeze(p *process, m *manager, request limit.FreezeRequest) {
-	if p.partitioned {
+	if p.cut {
 		return
 	}
 	report, ok := p.ledger.Freeze(request)
--- a/internal/limit/member.go
+++ b/internal/limit/member.go
@@ -1,7 +1,7 @@
 package limit
 
-// Lists reports whether the team's row lists the member, so that others may
-// pass it permits.
+// IsMember reports whether the team's row lists the member, so that others may
+// transfer permits to it.
 func (l *Ledger) IsMember(team string, member Member) bool {
 	a := l.lock(team)
 	if a == nil {
--- a/internal/limit/message.go
+++ b/internal/limit/message.go
@@ -1,6 +1,7 @@
 package limit
 
-// Ask requests permits from a peer; Holding is what the asker has already.
+// TransferRequest asks a peer for permits. Holding is the number of permits
+// that the sender already has.
 type TransferRequest struct {
 	Team       string `json:"team"`
 	Generation uint64 `json:"generation"`
@@ -10,9 +11,9 @@
 	Holding    int    `json:"holding"`
 }
 
-// Transfer tells how many permits From has given To in a generation in total.
-// The receiver keeps the greatest total seen, so that loss, repetition and
-// reordering of transfers do no harm.
+// Transfer states how many permits From has sent To in a generation in total.
+// The receiver keeps the greatest total, so lost, duplicated or reordered
+// messages don't change the sum.
 type Transfer struct {
 	Team       string `json:"team"`
 	Generation uint64 `json:"generation"`
@@ -21,32 +22,32 @@
 	Total      int    `json:"total"`
 }
 
-// FreezeMode tells what a frozen member may still start.
+// FreezeMode determines what work a frozen member may still start.
 type FreezeMode string
 
 // The modes of a FreezeRequest.
 const (
-	// FreezeOnly leaves the member what it holds.
+	// FreezeOnly leaves the member all permits that it holds.
 	FreezeOnly FreezeMode = "only"
-	// FreezeTrim has the member give up idle permits above Keep for good.
+	// FreezeTrim makes the member drop idle permits above Keep.
 	FreezeTrim FreezeMode = "trim"
-	// FreezeHold has the member start nothing more in this generation and give
-	// up each permit as its work ends.
+	// FreezeDrain makes the member start no more work in this generation and
+	// drop each permit as its work ends.
 	FreezeDrain FreezeMode = "hold"
 )
 
-// FreezeRequest asks a member to end its trade in the generation in which Row
-// places it. Row is a committed row, never a proposal.
+// FreezeRequest asks a member to stop transferring permits in the generation
+// that Row assigns it. Row is a committed row, never a proposal.
 type FreezeRequest struct {
 	To   Member     `json:"to"`
-	Row  Row        `json:"row"`
+	Row  Allocation `json:"row"`
 	Mode FreezeMode `json:"mode"`
 	Keep int        `json:"keep"`
 }
 
-// Report is a frozen member's account of a generation. Sent and Received are
-// final; Holding never rises again and bounds what the member runs until it
-// adopts a newer generation.
+// Report lists a frozen member's permits and transfers in a generation. Sent
+// and Received are final. Holding never rises again and bounds the member's
+// running work until it applies a newer generation.
 type Report struct {
 	Team       string         `json:"team"`
 	Generation uint64         `json:"generation"`
@@ -57,7 +58,7 @@
 	Received   map[Member]int `json:"received,omitempty"`
 }
 
-// Status is what a member tells its peers of one team.
+// Status holds a member's permit counts for one team, as gossiped to peers.
 type Status struct {
 	Team       string `json:"team"`
 	Generation uint64 `json:"generation"`
@@ -65,7 +66,7 @@
 	Holding    int    `json:"holding"`
 	InUse      int    `json:"in-use"`
 	Lingering  int    `json:"lingering"`
-	// Idle is what a peer may ask for at once; 0 while frozen.
+	// Idle is the number of permits that peers can request; 0 while frozen.
 	Idle     int  `json:"idle"`
 	Frozen   bool `json:"frozen"`
 	Draining bool `json:"held"`
--- a/internal/limit/plan.go
+++ b/internal/limit/plan.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Verdict is what a manager should do with a team's row now.
+// Action is what a manager should do with a team's row now.
 type Action string
 
-// The verdicts of Plan and Planner.Step.
+// Actions returned by Plan and Planner.Step.
 const (
-	// Settled means that the row is as it should be.
+	// NoChange means that the row is up to date.
 	NoChange Action = "settled"
 	// Wait means that reports are missing or that too much is still running.
 	Wait Action = "wait"
@@ -18,36 +18,37 @@
 	Commit Action = "commit"
 )
 
-// PlanInput is what a manager knows of one team.
+// PlanInput is a manager's information about one team.
 type PlanInput struct {
 	// Row is the row as read; generation 0 means that there is none.
-	Row Row
+	Row Allocation
 	// Limit is the limit that the catalogue asks for.
 	Limit int
 	// Live lists the processes that should hold permits.
 	Live []Member
-	// Gone lists members that are proven to have ended, and whose work has
+	// Gone holds members that are known to have ended, and whose work has
 	// ended too.
 	Gone map[Member]bool
-	// Reports holds what the members answered, of any generation.
+	// Reports holds the members' reports, of any generation.
 	Reports map[Member]Report
-	// AwaitSilent holds the plan back until every member not gone reported.
+	// AwaitReports delays the plan until every member that isn't gone has
+	// reported.
 	AwaitReports bool
 }
 
 // Outcome is the result of Plan. Next is set with Commit. With Wait, Trims
-// lists the requests that would bring the members' holdings within the limit.
+// lists the requests that bring the members' holdings within the limit.
 type Outcome struct {
 	Action Action
-	Next   Row
+	Next   Allocation
 	Trims  []FreezeRequest
 }
 
-// tally sums up a generation's end.
+// reportSummary sums up the members' reports at the end of a generation.
 type reportSummary struct {
 	// reported members are frozen in the generation where the row places them.
 	reported []Member
-	// carried members are unaccounted for; their bounds count as a sum.
+	// carried members have not reported. Only the sum of their bounds counts.
 	carried    map[Member]Carry
 	unreported int
 	holding    int
@@ -55,8 +56,9 @@
 	bound      int
 }
 
-// Plan works out the next generation of a row. It never lets the sum of what
-// members may run exceed the next row's limit; nothing that runs is cut.
+// Plan computes the next generation of a row. It never lets the sum of what
+// members may run exceed the next row's limit, and never interrupts running
+// work.
 func Plan(in PlanInput) Outcome {
 	if in.Row.Generation == 0 {
 		return firstRow(in)
@@ -68,7 +70,7 @@
 	if summary.holding+summary.bound > in.Limit {
 		return Outcome{Action: Wait, Trims: trimRequests(in, summary)}
 	}
-	next := Row{
+	next := Allocation{
 		Team:       in.Row.Team,
 		Generation: in.Row.Generation + 1,
 		Limit:      in.Limit,
@@ -86,16 +88,16 @@
 	return Outcome{Action: Commit, Next: next}
 }
 
-// Extend works out what can be added to a row within its generation: new
-// members and a raised limit. It needs no reports.
+// Extend computes additions to a row within its generation: new members and a
+// raised limit. It needs no reports.
 func Extend(in PlanInput) Outcome {
 	raised := max(in.Limit, in.Row.Limit)
-	free := raised - in.Row.Allocated()
+	free := raised - in.Row.Total()
 	recipients := recipientsOf(in, in.Row)
 	if raised == in.Row.Limit && !addsToRow(in.Row, recipients, free) {
 		return Outcome{Action: NoChange}
 	}
-	next := Row{
+	next := Allocation{
 		Team:       in.Row.Team,
 		Generation: in.Row.Generation,
 		Limit:      raised,
@@ -107,8 +109,8 @@
 	return Outcome{Action: Commit, Next: next}
 }
 
-// grows reports whether the takers would add to the row.
-func addsToRow(row Row, recipients []Member, free int) bool {
+// addsToRow reports whether the recipients would add to the row.
+func addsToRow(row Allocation, recipients []Member, free int) bool {
 	if free > 0 && len(recipients) > 0 {
 		return true
 	}
@@ -118,18 +120,18 @@
 	})
 }
 
-// create returns a team's first row.
+// firstRow returns the commit of a team's first row.
 func firstRow(in PlanInput) Outcome {
 	if len(in.Live) == 0 {
 		return Outcome{Action: Wait}
 	}
-	next := Row{Generation: 1, Limit: in.Limit, Team: in.Row.Team, Granted: make(map[Member]int)}
+	next := Allocation{Generation: 1, Limit: in.Limit, Team: in.Row.Team, Granted: make(map[Member]int)}
 	distribute(next.Granted, in.Live, in.Limit)
 	return Outcome{Action: Commit, Next: next}
 }
 
-// takersOf returns the live members that may be granted more in the row.
-func recipientsOf(in PlanInput, row Row) []Member {
+// recipientsOf returns the live members that may be granted more in the row.
+func recipientsOf(in PlanInput, row Allocation) []Member {
 	var recipients []Member
 	for _, m := range in.Live {
 		if _, carried := row.Carried[m]; !carried && !in.Gone[m] {
@@ -140,7 +142,8 @@
 	return slices.Compact(recipients)
 }
 
-// divide adds n permits, if any, to the takers in even parts.
+// distribute adds n permits to the recipients in equal parts. A negative n
+// adds none.
 func distribute(granted map[Member]int, recipients []Member, n int) {
 	n = max(n, 0)
 	for i, m := range recipients {
@@ -151,6 +154,8 @@
 	}
 }
 
+// summarizeReports sums up the members' reports and bounds the permits of
+// those that have not reported.
 func summarizeReports(in PlanInput) reportSummary {
 	summary := reportSummary{carried: make(map[Member]Carry)}
 	unreported := make(map[uint64]int)
@@ -172,8 +177,8 @@
 	}
 	applyTransfers(in, summary.carried)
 	for m, carry := range summary.carried {
-		// A gone member may have given its permits to a silent one; it is
-		// struck off once nobody in its generation is silent.
+		// A gone member may have transferred its permits to one that has not
+		// reported. It is dropped once all of its generation have reported.
 		if unreported[carry.Generation] == 0 {
 			delete(summary.carried, m)
 			continue
@@ -183,8 +188,8 @@
 	return summary
 }
 
-// settleFlows adds to the carried bounds what reported members of the same
-// generation gave, and takes off what they received.
+// applyTransfers adds to the carried bounds what reported members of the same
+// generation sent, and subtracts what they received.
 func applyTransfers(in PlanInput, carried map[Member]Carry) {
 	for _, r := range in.Row.members() {
 		report, ok := reportOf(in, r)
@@ -200,24 +205,24 @@
 	}
 }
 
-// reportOf returns the member's report of the generation in which the row
-// places it; reports of any other generation say nothing.
+// reportOf returns the member's report of the generation that the row assigns
+// it. Reports of other generations are ignored.
 func reportOf(in PlanInput, m Member) (Report, bool) {
 	generation, known := in.Row.generationOf(m)
 	report, ok := in.Reports[m]
 	return report, ok && known && report.Generation == generation
 }
 
-// base returns the permits that the row accounts to the member.
-func (row Row) permitsOf(m Member) int {
+// permitsOf returns the permits that the row allocates to the member.
+func (row Allocation) permitsOf(m Member) int {
 	if carry, ok := row.Carried[m]; ok {
 		return carry.Bound
 	}
 	return row.Granted[m]
 }
 
-// trims returns requests that bring the reported members' holdings down: to
-// their shares while what runs fits the limit, else to a full stop of starts.
+// trimRequests returns requests that lower the reported members' holdings: to
+// their shares if the running work fits the limit, otherwise by draining.
 func trimRequests(in PlanInput, summary reportSummary) []FreezeRequest {
 	available := in.Limit - summary.bound - summary.inUse
 	keep := make(map[Member]int)
--- a/internal/limit/planner.go
+++ b/internal/limit/planner.go
@@ -8,19 +8,19 @@
 	ReportTimeout time.Duration
 }
 
-// View is what a manager has read about one team.
+// View is the state of one team as read by a manager.
 type View struct {
 	// Row is the team's row; without one, only Row.Team is set.
-	Row Row
+	Row Allocation
 	// Limit is the limit that the catalogue asks for.
 	Limit int
-	// LongestRun bounds how long work goes on after its member has ended.
+	// LongestRun bounds how long work can run on after its member has ended.
 	LongestRun time.Duration
 	// Live lists the processes that should hold permits.
 	Live []Member
 	// Ended lists the processes for which there is evidence that they ended:
-	// they handed over, a newer incarnation stands at their address, or the
-	// platform has listed their host as gone for longer than its lag.
+	// they handed over, a newer incarnation uses their address, or the platform
+	// has listed their host as gone for longer than its listing lag.
 	Ended []Member
 }
 
@@ -28,37 +28,38 @@
 type Decision struct {
 	Action Action
 	// Next is the row to commit, on condition of the version of View.Row.
-	Next Row
-	// Freezes are to be sent; the answers go to Handle.
+	Next Allocation
+	// Freezes are to be sent; pass the answers to HandleReport.
 	Freezes []FreezeRequest
 }
 
-// Planner drives the rows of all teams from one manager. Any number of
-// managers may do so at once: the table lets only one commit win. It is not
-// safe for concurrent use.
+// Planner plans the rows of all teams in one manager. Any number of managers
+// may do so at the same time, because the table accepts only one of their
+// commits. A Planner is not safe for concurrent use.
 type Planner struct {
 	config PlannerConfig
 	teams  map[string]*teamPlan
 }
 
-// teamPlan is a Planner's memory of one team.
+// teamPlan is a Planner's state of one team.
 type teamPlan struct {
 	reports map[Member]Report
-	// endedSince is when this planner first saw the evidence, by its own time.
+	// endedSince is when this planner first saw the evidence, by its own clock.
 	endedSince map[Member]time.Time
-	// generation and since tell the rebase under way and when it began.
+	// rebaseGeneration and rebaseSince are the generation that is being rebased
+	// and when the rebase began.
 	rebaseGeneration uint64
 	rebaseSince      time.Time
 }
 
-// NewPlanner returns a Planner without any memory.
+// NewPlanner returns a Planner without any reports.
 func NewPlanner(config PlannerConfig) *Planner {
 	return &Planner{config: config, teams: make(map[string]*teamPlan)}
 }
 
-// Handle takes over a report, asked for or not, late or repeated.
+// HandleReport records a report. Reports may be unrequested, late or repeated.
 func (p *Planner) HandleReport(report Report) {
-	plan := p.planOf(report.Team)
+	plan := p.team(report.Team)
 	previous, ok := plan.reports[report.Member]
 	if ok && previous.Generation > report.Generation {
 		return
@@ -69,9 +70,9 @@
 	plan.reports[report.Member] = report
 }
 
-// Step decides what to do for the team of the view.
+// Step decides what to do for the view's team.
 func (p *Planner) Step(now time.Time, view View) Decision {
-	plan := p.planOf(view.Row.Team)
+	plan := p.team(view.Row.Team)
 	in := PlanInput{
 		Row:     view.Row,
 		Limit:   view.Limit,
@@ -96,8 +97,8 @@
 	return decision
 }
 
-// extend adds to the row what needs no rebase, and asks carried members for
-// the report that would bring them back.
+// extend adds to the row what needs no rebase, and requests the reports of
+// carried members, so that a rebase can bring them back.
 func (p *Planner) extend(in PlanInput) Decision {
 	p.teams[in.Row.Team].rebaseSince = time.Time{}
 	outcome := Extend(in)
@@ -113,7 +114,7 @@
 	return decision
 }
 
-func (p *Planner) planOf(team string) *teamPlan {
+func (p *Planner) team(team string) *teamPlan {
 	plan, ok := p.teams[team]
 	if !ok {
 		plan = &teamPlan{reports: make(map[Member]Report)}
@@ -122,8 +123,8 @@
 	return plan
 }
 
-// gone returns the members whose work has ended with certainty: the longest
-// run has passed since this planner first saw evidence that still stands.
+// gone returns the members whose work is certain to have ended: LongestRun has
+// passed since this planner first saw the evidence, which still holds.
 func (plan *teamPlan) gone(now time.Time, view View) map[Member]bool {
 	endedSince := make(map[Member]time.Time)
 	gone := make(map[Member]bool)
@@ -139,7 +140,7 @@
 	return gone
 }
 
-// forget drops reports from members that the row no longer knows.
+// dropUnknownReports drops reports from members that the row no longer lists.
 func (plan *teamPlan) dropUnknownReports(view View) {
 	for m, report := range plan.reports {
 		_, known := view.Row.generationOf(m)
@@ -149,14 +150,14 @@
 	}
 }
 
-// wanted reports whether the row needs a new generation.
+// needsRebase reports whether the row needs a new generation.
 func needsRebase(in PlanInput) bool {
 	if in.Limit < in.Row.Limit {
 		return true
 	}
 	for m := range in.Reports {
-		// A report means that the member's trade has ended, or that a carried
-		// member can come back.
+		// A report means that the member is frozen, or that a carried member
+		// can be brought back.
 		if _, ok := reportOf(in, m); ok {
 			return true
 		}
@@ -169,8 +170,9 @@
 	return false
 }
 
-// reclaimable reports whether a rebase would strike the member off: it is
-// gone, and in its generation nobody is known to be silent.
+// reclaimable reports whether a rebase would drop the member and reclaim its
+// permits: the member is gone and, if it is carried, so are all others carried
+// from its generation.
 func reclaimable(in PlanInput, m Member) bool {
 	if _, known := in.Row.generationOf(m); !known || !in.Gone[m] {
 		return false
@@ -187,7 +189,8 @@
 	return true
 }
 
-// missing returns requests to all members that have not reported yet.
+// missingReportRequests returns freeze requests to all members that have not
+// reported yet.
 func missingReportRequests(in PlanInput) []FreezeRequest {
 	var requests []FreezeRequest
 	for _, m := range in.Row.members() {
--- a/internal/limit/simulation_test.go
+++ b/internal/limit/simulation_test.go
@@ -19,7 +19,7 @@
 	maxInFlight = 40
 )
 
-// rules are the mechanisms that a mutation takes out.
+// mutations selects the protections that a simulation disables.
 type mutations struct {
 	acceptAfterReport    bool
 	addTotals            bool
@@ -34,12 +34,12 @@
 	reportNothingHeld    bool
 }
 
-// work runs at an endpoint, whatever becomes of the member that started it.
+// work runs at an endpoint, and continues if the member that started it ends.
 type work struct {
 	owner     *process
 	started   time.Time
 	lingering bool
-	// extra work runs under a permit that only a mutation would have.
+	// unbacked work runs under a permit that exists only because of a mutation.
 	unbacked bool
 }
 
@@ -50,14 +50,14 @@
 	paused bool
 	dead   bool
 	// cut processes reach neither table nor managers, only other processes.
-	partitioned bool
-	// extra counts permits that only a mutation would have.
+	cut bool
+	// unbacked counts permits that exist only because of a mutation.
 	unbacked, unbackedInUse int
 	receivedTotals          map[limit.Transfer]int
 }
 
-// world drives ledgers and planners through a hostile network and counts what
-// really runs.
+// simulation runs ledgers and planners on an unreliable network and records the
+// work that is actually running.
 type simulation struct {
 	intn            func(n int) int
 	mutations       mutations
@@ -70,7 +70,7 @@
 	ended           []limit.Member
 	died            map[limit.Member]time.Time
 	running         []*work
-	committedRows   []limit.Row
+	committedRows   []limit.Allocation
 	inFlight        []func()
 	counts          map[string]int
 	lastIncarnation int
@@ -117,7 +117,7 @@
 	})
 }
 
-// deliver lets up to a handful of messages arrive, in any order.
+// deliver delivers up to 16 messages, in any order.
 func (s *simulation) deliver() {
 	for range 1 + s.intn(16) {
 		if len(s.inFlight) == 0 {
@@ -139,13 +139,13 @@
 	}
 }
 
-// row reads the table, and false during an outage.
-func (s *simulation) row() (limit.Row, table.Row, bool) {
+// row reads the row from the table. It returns false during an outage.
+func (s *simulation) row() (limit.Allocation, table.Row, bool) {
 	rows, err := s.store.Get(context.Background(), limit.Key(team))
 	if err != nil {
-		return limit.Row{}, table.Row{}, false
+		return limit.Allocation{}, table.Row{}, false
 	}
-	grant := limit.Row{Team: team}
+	grant := limit.Allocation{Team: team}
 	if rows[0].Version != table.Absent {
 		if err := json.Unmarshal(rows[0].Value, &grant); err != nil {
 			panic(err)
@@ -155,12 +155,12 @@
 }
 
 func (s *simulation) readRow(p *process) {
-	if row, _, ok := s.row(); ok && !p.paused && !p.partitioned {
+	if row, _, ok := s.row(); ok && !p.paused && !p.cut {
 		s.adopt(p, row)
 	}
 }
 
-func (s *simulation) adopt(p *process, row limit.Row) {
+func (s *simulation) adopt(p *process, row limit.Allocation) {
 	if carry, ok := row.Carried[p.self]; ok && s.mutations.adoptWhileCarried {
 		row.Granted = maps.Clone(row.Granted)
 		row.Granted[p.self] = max(0, carry.Bound)
@@ -176,21 +176,21 @@
 	if p.dead || p.paused {
 		return
 	}
-	started := &work{owner: p, started: s.now}
+	newWork := &work{owner: p, started: s.now}
 	switch {
 	case p.ledger.Acquire(team):
 	case p.unbackedInUse < p.unbacked:
 		p.unbackedInUse++
-		started.unbacked = true
+		newWork.unbacked = true
 	default:
 		s.counts["refused"]++
 		return
 	}
 	s.counts["started"]++
-	s.running = append(s.running, started)
+	s.running = append(s.running, newWork)
 }
 
-// release frees the permit of work that its member knows to have ended.
+// release returns the permit of work that its member knows to have ended.
 func (s *simulation) release(done *work) {
 	switch {
 	case done.owner.dead:
@@ -201,7 +201,8 @@
 	}
 }
 
-// end ends work i; its member may hear of it much later.
+// end ends work i. The member learns of the end of lingering work only
+// sometimes.
 func (s *simulation) end(i int) {
 	done := s.running[i]
 	s.running = slices.Delete(s.running, i, i+1)
@@ -214,7 +215,7 @@
 	s.release(done)
 }
 
-// timeOut cuts a request short for its caller while its work goes on.
+// timeOut ends a request for its caller while its work goes on.
 func (s *simulation) timeOut(i int) {
 	timedOut := s.running[i]
 	if timedOut.lingering || timedOut.unbacked || timedOut.owner.dead || timedOut.owner.paused {
@@ -243,7 +244,7 @@
 	}
 }
 
-// trade sends the requests, repetitions and reports of one gossip round.
+// gossip sends the requests, resent transfers and reports of one gossip round.
 func (s *simulation) gossip(p *process) {
 	if p.paused {
 		return
@@ -255,13 +256,13 @@
 		}
 	}
 	for _, ask := range p.ledger.TransferRequests(team, peers) {
-		s.toMember(ask.To, func(giver *process) { s.handleRequest(giver, ask) })
+		s.toMember(ask.To, func(sender *process) { s.handleRequest(sender, ask) })
 	}
 	for _, transfer := range p.ledger.Unconfirmed() {
 		s.toMember(transfer.To, func(to *process) { s.receive(to, transfer) })
 	}
 	for _, report := range p.ledger.Reports() {
-		if p.partitioned {
+		if p.cut {
 			break
 		}
 		m := s.managers[s.intn(len(s.managers))]
--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -63,10 +63,10 @@
 
 // divideTeam steps the planner for one team and carries out its decision.
 func (m *Manager) divideTeam(ctx context.Context, planner *limit.Planner, c catalogue.Catalogue, team catalogue.Team, row table.Row) error {
-	grant := limit.Row{Team: team.Name}
+	grant := limit.Allocation{Team: team.Name}
 	if row.Version != table.Absent {
 		var err error
-		if grant, err = limit.ParseRow(row.Value); err != nil {
+		if grant, err = limit.ParseAllocation(row.Value); err != nil {
 			return errors.Wrapf(err, "decode row %q", row.Key)
 		}
 	}
@@ -85,7 +85,7 @@
 }
 
 // commitGrant writes a team's row on condition of the version that was read.
-func (m *Manager) commitGrant(ctx context.Context, next limit.Row, row table.Row) error {
+func (m *Manager) commitGrant(ctx context.Context, next limit.Allocation, row table.Row) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "encode limit row")
@@ -141,7 +141,7 @@
 
 // ended returns the row's members that the roster has dropped, which it does
 // on evidence only.
-func ended(grant limit.Row, members roster.Roster) []limit.Member {
+func ended(grant limit.Allocation, members roster.Roster) []limit.Member {
 	present := make(map[limit.Member]bool)
 	for _, member := range members.Members {
 		present[limit.Member(member.Identity.String())] = true
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -96,7 +96,7 @@
 		return errors.Wrap(err, "read the limits")
 	}
 	for _, row := range rows {
-		grant, err := limit.ParseRow(row.Value)
+		grant, err := limit.ParseAllocation(row.Value)
 		if err != nil {
 			return errors.Wrapf(err, "decode row %q", row.Key)
 		}
--- a/internal/peer/limits.go
+++ b/internal/peer/limits.go
@@ -86,7 +86,7 @@
 
 // Freeze decodes a request to end a generation's trade.
 func Freeze(m *peerpb.FreezeRequest) (limit.FreezeRequest, error) {
-	row, err := limit.ParseRow(m.GetRow())
+	row, err := limit.ParseAllocation(m.GetRow())
 	if err != nil {
 		return limit.FreezeRequest{}, errors.Wrap(err, "decode limit row")
 	}
