--- a/internal/charge/bench_test.go
+++ b/internal/charge/bench_test.go
@@ -10,28 +10,28 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// BenchmarkBook charges a second's runs and has them committed, and reports
+// BenchmarkRecorder charges and commits one second's runs and reports
 // transactions and bytes. The memory is that of runs buffered in an outage.
-func BenchmarkBook(b *testing.B) {
+func BenchmarkRecorder(b *testing.B) {
 	for _, runs := range []int{100, 300, 1000, 3000, 10000} {
 		b.Run(fmt.Sprintf("runs=%d", runs), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			buffered := newBook(runs)
-			charged(buffered, start, runs)
+			buffered := newRecorder(runs)
+			recordCharges(buffered, start, runs)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			runtime.KeepAlive(buffered)
 			now, transactions, size := start, 0, 0
-			book := newBook(runs)
+			recorder := newRecorder(runs)
 			b.ReportAllocs()
 			for b.Loop() {
 				transactions, size = 0, 0
-				effects := charged(book, now, runs)
-				for len(effects) > 0 || !book.Drained() {
+				effects := recordCharges(recorder, now, runs)
+				for len(effects) > 0 || !recorder.Drained() {
 					now = now.Add(250 * time.Millisecond)
-					effects = append(effects, book.Tick(now)...)
+					effects = append(effects, recorder.Tick(now)...)
 					if len(effects) == 0 {
 						continue
 					}
@@ -45,7 +45,7 @@
 					for _, write := range commit.Txn.Writes {
 						size += len(write.Key) + len(write.Value)
 					}
-					effects = append(effects, book.TableAnswer(now, commit.Call, nil)...)
+					effects = append(effects, recorder.HandleTableReply(now, commit.Call, nil)...)
 				}
 			}
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/float64(runs), "heap-bytes/run")
@@ -55,19 +55,19 @@
 	}
 }
 
-func newBook(runs int) *charge.Book {
+func newRecorder(runs int) *charge.Recorder {
 	return charge.New(charge.Config{
-		Self: roster.Identity{Name: "entry-00", Incarnation: 1_700_000_000}, MaxEntries: runs, MaxBatch: 100,
+		Self: roster.Identity{Name: "entry-00", Incarnation: 1_700_000_000}, MaxRecords: runs, MaxBatch: 100,
 		BatchInterval: 250 * time.Millisecond,
 	})
 }
 
-// charged answers so many runs and returns the effects.
-func charged(book *charge.Book, now time.Time, runs int) []charge.Effect {
+// recordCharges charges the given number of runs and returns the effects.
+func recordCharges(recorder *charge.Recorder, now time.Time, runs int) []charge.Effect {
 	var effects []charge.Effect
 	for range runs {
-		effects = append(effects, book.Answered(now, charge.Charge{
-			Run: book.Run(), Team: "team-000", Service: "service-00", Endpoint: "10.1.2.3:9000",
+		effects = append(effects, recorder.RecordCharge(now, charge.Charge{
+			Run: recorder.NewRunID(), Team: "team-000", Service: "service-00", Endpoint: "10.1.2.3:9000",
 			Started: now, Duration: 50 * time.Millisecond, Outcome: charge.OutcomeSucceeded,
 		})...)
 	}
--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -1,31 +1,33 @@
 // Package charge writes one charge for each run that is proven to have taken
-// place, and lists the runs that cannot be proved.
+// place, and lists the runs that cannot be proven.
 //
-// The proof is the endpoint's whole answer. A charge's row is named after its
-// run, and its value never differs, so writing it twice changes nothing. A run
-// that timed out or was cut goes to a row of its own for the operator and is
-// not charged; if its whole answer arrives later, the charge replaces it.
+// The proof is the endpoint's complete response. A charge's row is named after
+// its run and its value never differs, so writing it is idempotent. A run that
+// timed out or was aborted is not charged; it is written to a row of its own
+// for the operator. If its complete response arrives later, the charge replaces
+// that row.
 //
-// Rows go to the platform's table in batches. While the table is down they are
-// buffered here and mirrored at one peer, which writes them if this process
-// ends first. Both buffers are bounded: what does not fit is not charged, and
-// counted (see Snapshot). A charge is lost as well if this process ends before
-// its first mirror is taken. Neither ever charges for work that did not run.
+// Rows are written to the platform's table in batches. While the table is down
+// they are buffered here and mirrored at one peer, which writes them if this
+// process ends first. Both buffers are bounded: runs that don't fit are not
+// charged, but counted (see Snapshot). A charge is also lost if this process
+// ends before the peer has its first mirror. In neither case is work charged
+// that did not run.
 //
-// A Book does no input or output: each method takes the present time and
-// returns the effects to carry out. It is not safe for concurrent use; one
+// A Recorder does no input or output: each method takes the current time and
+// returns the effects to execute. It is not safe for concurrent use; one
 // goroutine of the adapter owns it.
 //
 // # Usage
 //
-//	book := charge.New(charge.Config{Self: self})
-//	run := book.Run() // one for each attempt that is dispatched
-//	effects := book.Answered(now, charge.Charge{Run: run, Team: "tanoa"})
-//	effects = append(effects, book.Tick(now)...)
+//	recorder := charge.New(charge.Config{Self: self})
+//	run := recorder.NewRunID() // one for each attempt that is dispatched
+//	effects := recorder.RecordCharge(now, charge.Charge{Run: run, Team: "tanoa"})
+//	effects = append(effects, recorder.Tick(now)...)
 //	for _, effect := range effects {
 //		switch effect := effect.(type) {
-//		case charge.Commit: // call the table, then book.TableAnswer
-//		case charge.Mirror: // send to the peer, which calls book.Hold
+//		case charge.Commit: // call the table, then recorder.HandleTableReply
+//		case charge.Mirror: // send to the peer, which calls recorder.HandleMirror
 //		}
 //	}
 package charge
@@ -41,22 +43,22 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Prefixes of the rows.
+// Key prefixes of charge rows and of rows for unproven runs.
 const (
 	Prefix         = "charge/"
 	UnprovenPrefix = "charge-unproven/"
 )
 
-// RunID names one attempt that was dispatched; no attempt shares it.
+// RunID identifies one dispatched attempt. It is never reused.
 type RunID struct {
 	Entry    roster.Identity `json:"entry"`
 	Sequence uint64          `json:"sequence"`
 }
 
-// runIDParts are entry, incarnation and sequence.
+// runIDParts counts the parts of a run ID: entry, incarnation and sequence.
 const runIDParts = 3
 
-// ParseRunID reads what String returns.
+// ParseRunID parses a run ID as formatted by String.
 func ParseRunID(text string) (RunID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != runIDParts {
@@ -74,12 +76,12 @@
 	return RunID{Entry: entry, Sequence: sequence}, nil
 }
 
-// String returns the id as it stands in row keys and headers.
+// String returns the ID as it is written in row keys and headers.
 func (id RunID) String() string {
 	return fmt.Sprintf("%s.%d.%d", id.Entry.Name, id.Entry.Incarnation, id.Sequence)
 }
 
-// Outcome tells how a proven run ended.
+// Outcome is the result of a proven run.
 type Outcome string
 
 // Outcomes of a charged run.
@@ -88,8 +90,8 @@
 	OutcomeFailed    Outcome = "failed"
 )
 
-// Charge is the value of a charge row. ClaimRow is the key of the claim if the
-// request was marked not to be repeated.
+// Charge is the value of a charge row. ClaimRow is the key of the claim's row
+// if the request is idempotent.
 type Charge struct {
 	Run      RunID         `json:"run"`
 	Team     string        `json:"team"`
@@ -104,11 +106,11 @@
 // Reason says why a run is not charged.
 type Reason string
 
-// Reasons.
+// Reasons for not charging a run.
 const (
 	ReasonTimedOut Reason = "timed-out"
-	ReasonCut      Reason = "cut"
-	// ReasonSuperseded: another attempt of the same request gave the answer.
+	ReasonAborted  Reason = "cut"
+	// ReasonSuperseded: the response came from another attempt of the request.
 	ReasonSuperseded Reason = "superseded"
 )
 
@@ -118,26 +120,26 @@
 	Reason Reason `json:"reason"`
 }
 
-// Entry is a charge, or an unproven run if Reason is set.
-type Entry struct {
+// Record is a charge, or an unproven run if Reason is set.
+type Record struct {
 	Charge Charge `json:"charge"`
 	Reason Reason `json:"reason,omitempty"`
 }
 
-// writes returns the row changes for the entry.
-func (e Entry) writes() []table.Write {
-	run := e.Charge.Run.String()
-	if e.Reason != "" {
-		value := encode(Unproven{Charge: e.Charge, Reason: e.Reason})
+// rowWrites returns the row changes that store the record.
+func (r Record) rowWrites() []table.Write {
+	run := r.Charge.Run.String()
+	if r.Reason != "" {
+		value := encode(Unproven{Charge: r.Charge, Reason: r.Reason})
 		return []table.Write{{Key: UnprovenPrefix + run, Value: value}}
 	}
 	return []table.Write{
-		{Key: Prefix + run, Value: encode(e.Charge)},
+		{Key: Prefix + run, Value: encode(r.Charge)},
 		{Key: UnprovenPrefix + run, Delete: true},
 	}
 }
 
-// encode returns a row's value.
+// encode returns the JSON of a row's value.
 func encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/charge/fuzz_test.go
+++ b/internal/charge/fuzz_test.go
@@ -6,7 +6,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/charge"
 )
 
-// A run id that is accepted keeps its meaning when it is written and read again.
+// FuzzParseRunID checks that an accepted run ID parses to the same value after
+// it is formatted again.
 func FuzzParseRunID(f *testing.F) {
 	for _, text := range []string{"entry-1.17.4", "", "..", "entry-1.007.4", "a.b.1.2", "entry-1.18446744073709551616.1", ".1.2"} {
 		f.Add(text)
--- a/internal/charge/mirror.go
+++ b/internal/charge/mirror.go
@@ -6,92 +6,93 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// mirror sends the entries that the peer has not confirmed.
-func (b *Book) mirror(now time.Time) {
-	if b.peer.Name == "" {
+// mirror sends the records that the peer has not confirmed.
+func (r *Recorder) mirror(now time.Time) {
+	if r.peer.Name == "" {
 		return
 	}
-	var entries []Entry
-	for _, it := range b.pending() {
-		if len(entries) == b.config.MaxBatch {
-			b.emit(Mirror{To: b.peer, From: b.config.Self, Entries: entries})
-			entries = nil
+	var records []Record
+	for _, it := range r.unwritten() {
+		if len(records) == r.config.MaxBatch {
+			r.emit(Mirror{To: r.peer, From: r.config.Self, Records: records})
+			records = nil
 		}
-		if it.held || it.mirrored || now.Sub(it.sentAt) < b.config.RetryInterval {
+		if it.held || it.mirrored || now.Sub(it.sentAt) < r.config.RetryInterval {
 			continue
 		}
 		it.sentAt = now
-		entries = append(entries, it.entry)
+		records = append(records, it.record)
 	}
-	if len(entries) > 0 {
-		b.emit(Mirror{To: b.peer, From: b.config.Self, Entries: entries})
+	if len(records) > 0 {
+		r.emit(Mirror{To: r.peer, From: r.config.Self, Records: records})
 	}
 }
 
-// pending returns the items that the table may lack, oldest first.
-func (b *Book) pending() []*item {
-	var pending []*item
-	pending = append(pending, b.batch...)
-	return append(pending, b.queue...)
+// unwritten returns the items that may be missing in the table, oldest first.
+func (r *Recorder) unwritten() []*item {
+	var unwritten []*item
+	unwritten = append(unwritten, r.batch...)
+	return append(unwritten, r.queue...)
 }
 
-// Hold takes a peer's entries and confirms those that there is room for.
-func (b *Book) Hold(now time.Time, mirror Mirror) []Effect {
-	confirm := Confirm{To: mirror.From, From: b.config.Self}
-	for _, entry := range mirror.Entries {
-		if b.put(now, entry, true) {
-			confirm.Held = append(confirm.Held, entry)
+// HandleMirror buffers a peer's records and confirms those that fit.
+func (r *Recorder) HandleMirror(now time.Time, mirror Mirror) []Effect {
+	confirm := Confirm{To: mirror.From, From: r.config.Self}
+	for _, record := range mirror.Records {
+		if r.buffer(now, record, true) {
+			confirm.Held = append(confirm.Held, record)
 		}
 	}
-	b.emit(confirm)
-	return b.flush(now)
+	r.emit(confirm)
+	return r.flush(now)
 }
 
-// Confirmed takes a peer's Confirm.
-func (b *Book) Confirmed(now time.Time, confirm Confirm) []Effect {
-	if confirm.From != b.peer.Identity {
-		return b.flush(now)
+// HandleConfirm handles a peer's Confirm.
+func (r *Recorder) HandleConfirm(now time.Time, confirm Confirm) []Effect {
+	if confirm.From != r.peer.Identity {
+		return r.flush(now)
 	}
-	for _, entry := range confirm.Held {
-		it := b.items[entry.Charge.Run]
-		if it != nil && it.entry.Reason == entry.Reason {
+	for _, record := range confirm.Held {
+		it := r.items[record.Charge.Run]
+		if it != nil && it.record.Reason == record.Reason {
 			it.mirrored = true
 			it.peer = confirm.From
 		}
 	}
-	return b.flush(now)
+	return r.flush(now)
 }
 
-// Forgotten drops held entries that their owner has written.
-func (b *Book) Forgotten(now time.Time, forget Forget) []Effect {
-	for _, entry := range forget.Entries {
-		it := b.items[entry.Charge.Run]
-		if it != nil && it.held && !it.busy && it.entry.Reason == entry.Reason {
-			b.forget(it)
+// HandleForget drops held records that their owner has written.
+func (r *Recorder) HandleForget(now time.Time, forget Forget) []Effect {
+	for _, record := range forget.Records {
+		it := r.items[record.Charge.Run]
+		if it != nil && it.held && !it.committing && it.record.Reason == record.Reason {
+			r.remove(it)
 		}
 	}
-	return b.flush(now)
+	return r.flush(now)
 }
 
-// Snapshot is the state of a Book for the dump.
+// Snapshot is the state of a Recorder for the dump.
 type Snapshot struct {
 	Self    roster.Identity `json:"self"`
 	Peer    string          `json:"peer"`
 	TableUp bool            `json:"table-up"`
 	Own     int             `json:"own"`
 	Held    int             `json:"held"`
-	// Dropped counts runs that are neither charged nor listed for lack of room.
+	// Dropped counts runs that are neither charged nor listed because the
+	// buffer was full.
 	Dropped uint64 `json:"dropped"`
 }
 
-// Snapshot returns the present state.
-func (b *Book) Snapshot() Snapshot {
+// Snapshot returns the current state.
+func (r *Recorder) Snapshot() Snapshot {
 	return Snapshot{
-		Self:    b.config.Self,
-		Peer:    b.peer.Name,
-		TableUp: b.tableUp,
-		Own:     b.own,
-		Held:    b.held,
-		Dropped: b.dropped,
+		Self:    r.config.Self,
+		Peer:    r.peer.Name,
+		TableUp: r.tableUp,
+		Own:     r.own,
+		Held:    r.held,
+		Dropped: r.dropped,
 	}
 }
--- a/internal/charge/trace.go
+++ b/internal/charge/trace.go
@@ -8,22 +8,22 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Finding is what a trace shows about a charge.
+// Finding is a fact about a run found by its trace.
 type Finding string
 
-// Findings.
+// Findings of a Trace.
 const (
 	FindingCharged  Finding = "charged"
 	FindingUnproven Finding = "unproven"
-	// FindingMissing: neither charged nor listed.
+	// FindingMissing: the run is neither charged nor listed as unproven.
 	FindingMissing Finding = "missing"
 	// FindingClaimMissing: the claim has expired, or was never written.
 	FindingClaimMissing Finding = "claim-missing"
-	// FindingClaimNotRun: the claim says that the work did not run.
+	// FindingClaimNotRun: the claim states that the work did not run.
 	FindingClaimNotRun Finding = "claim-not-run"
 )
 
-// Trace is what is known of one run.
+// Trace combines the stored rows about one run.
 type Trace struct {
 	Run      RunID         `json:"run"`
 	Findings []Finding     `json:"findings"`
@@ -32,13 +32,13 @@
 	Claim    *claim.Record `json:"claim,omitempty"`
 }
 
-// TraceKeys returns the rows to read for a trace.
+// TraceKeys returns the keys of the rows to read for a trace.
 func TraceKeys(run RunID) []string {
 	return []string{Prefix + run.String(), UnprovenPrefix + run.String()}
 }
 
-// NewTrace reads the rows of TraceKeys, in that order. If claimRow is not
-// empty, WithClaim completes the trace with that row.
+// NewTrace decodes the rows of TraceKeys, in that order. If claimRow is not
+// empty, WithClaim completes the trace with the row of that key.
 func NewTrace(run RunID, rows []table.Row) (trace Trace, claimRow string, err error) {
 	trace.Run = run
 	if len(rows) != len(TraceKeys(run)) {
@@ -64,7 +64,7 @@
 	return trace, trace.Unproven.ClaimRow, nil
 }
 
-// WithClaim adds the claim behind the run.
+// WithClaim adds the run's claim to the trace.
 func (t Trace) WithClaim(row table.Row) (Trace, error) {
 	if row.Version == table.Absent {
 		t.Findings = append(t.Findings, FindingClaimMissing)
