--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -105,7 +105,7 @@
 		return
 	}
 	n.noteAnswer(member.Identity)
-	n.configuration.Heard(started, peer.Statement(reply.GetFrom(), reply.GetConfiguration()))
+	n.configuration.HandleStatement(started, peer.Statement(reply.GetFrom(), reply.GetConfiguration()))
 	n.absorb(reply)
 }
 
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	n.seeRoster(members, rows[1].Version)
-	n.configuration.Read(started, managersOf(members), newest)
+	n.configuration.ObserveRoster(started, managersOf(members), newest)
 	if newest > n.configuration.View().State.Revision {
 		return n.load(ctx)
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return errors.Wrap(err, "load the configuration")
 	}
-	if n.configuration.Offer(state) {
+	if n.configuration.Update(state) {
 		n.config.Log.Info("configuration in force", "revision", state.Revision, "source", "table")
 	}
 	return nil
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/revision"
 )
 
-// stateOf returns a state with n entries and n keys of n/4 teams.
-func stateOf(n int) revision.State {
+// testState returns a state with n entries and n keys of n/4 teams.
+func testState(n int) revision.State {
 	c := catalogue.New()
 	keys := make([]keyring.Key, n)
 	for i := range n {
@@ -27,7 +27,7 @@
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
-			state := stateOf(n)
+			state := testState(n)
 			whole, err := state.Snapshot()
 			if err != nil {
 				b.Fatal(err)
@@ -51,34 +51,34 @@
 func BenchmarkStatement(b *testing.B) {
 	for _, n := range []int{3, 7, 24, 48} {
 		b.Run(fmt.Sprintf("managers=%d", n), func(b *testing.B) {
-			holder := revision.NewHolder(revision.HolderConfig{})
+			replica := revision.NewReplica(revision.ReplicaConfig{})
 			var managers []revision.Member
 			for i := range n {
 				managers = append(managers, revision.Member{Name: fmt.Sprintf("manager-%d", i), Incarnation: uint64(i)})
 			}
 			now := time.Unix(0, 0)
-			holder.Read(now, managers, 0)
-			digest := holder.Digest()
+			replica.ObserveRoster(now, managers, 0)
+			digest := replica.Digest()
 			b.ReportAllocs()
 			for b.Loop() {
-				said := holder.Statement(now, digest)
-				holder.Heard(now, said)
+				statement := replica.Statement(now, digest)
+				replica.HandleStatement(now, statement)
 			}
 		})
 	}
 }
 
-// The entry's decision on a key: copy, freshness, key.
+// BenchmarkAdmit measures an entry's check of a key: view, freshness and key.
 func BenchmarkAdmit(b *testing.B) {
-	holder := revision.NewHolder(revision.HolderConfig{})
-	holder.Offer(stateOf(1000))
+	replica := revision.NewReplica(revision.ReplicaConfig{})
+	replica.Update(testState(1000))
 	now := time.Unix(0, 0)
-	holder.ReadHead(now, 1)
+	replica.ObserveHead(now, 1)
 	presented := fmt.Sprintf("lk_%016x_%043d", 1, 0)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			view := holder.View()
+			view := replica.View()
 			if view.Fresh(now) {
 				view.State.Keys.Check(presented)
 			}
--- a/internal/revision/load_bench_test.go
+++ b/internal/revision/load_bench_test.go
@@ -11,15 +11,15 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// BenchmarkTransaction changes one entry of a configuration in the table, and
-// reports the size of the change that is pushed.
+// BenchmarkTransaction measures changing one entry of a configuration in the
+// table, and reports the size of the change that is pushed.
 func BenchmarkTransaction(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
 			store, size := table.NewMemory(), 0
 			ctx := context.Background()
 			_, err := revision.Transaction(ctx, store, revision.Operation{}, func(revision.State) (revision.State, error) {
-				return stateOf(n), nil
+				return testState(n), nil
 			})
 			if err != nil {
 				b.Fatal(err)
@@ -46,15 +46,15 @@
 	}
 }
 
-// BenchmarkLoad reads a whole configuration from the table, as a new process
-// does, and reports the memory that it keeps.
+// BenchmarkLoad measures reading a whole configuration from the table, as a new
+// process does, and reports the memory that it uses.
 func BenchmarkLoad(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
 			store := table.NewMemory()
 			ctx := context.Background()
 			_, err := revision.Transaction(ctx, store, revision.Operation{}, func(revision.State) (revision.State, error) {
-				return stateOf(n), nil
+				return testState(n), nil
 			})
 			if err != nil {
 				b.Fatal(err)
@@ -62,7 +62,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			held, err := revision.Load(ctx, store)
+			loaded, err := revision.Load(ctx, store)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -74,7 +74,7 @@
 					b.Fatal(err)
 				}
 			}
-			runtime.KeepAlive(held)
+			runtime.KeepAlive(loaded)
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/float64(n), "heap-bytes/entry")
 		})
 	}
--- a/internal/revision/state.go
+++ b/internal/revision/state.go
@@ -36,7 +36,7 @@
 	return State{Catalogue: catalogue.New(), Keys: keyring.Of()}
 }
 
-// Rows returns the table's rows that make up the state, without the head.
+// Rows returns the table's rows that represent the state, without the head.
 func (s State) Rows() (map[string][]byte, error) {
 	rows := make(map[string][]byte)
 	for name, team := range s.Catalogue.Teams {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Snapshot returns the change that leads from the empty state to s, to hand a
+// Snapshot returns the change from the empty state to s, which transfers the
 // whole state to a process that has none.
 func (s State) Snapshot() (Change, error) {
 	rows, err := s.Rows()
@@ -77,24 +77,24 @@
 	return change, err
 }
 
-// Change leads from one revision to the next.
+// Change is the difference between two revisions.
 type Change struct {
 	Base     uint64        `json:"base"`
 	Revision uint64        `json:"revision"`
 	Rows     []table.Write `json:"rows,omitempty"`
-	// Whole means that the rows are the whole state, whatever came before.
+	// Whole means that the rows are the whole state and replace any other.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// Empty reports whether nothing changed: the declared state was in force, or
-// an operation was repeated.
+// Empty reports whether nothing changed: the declared state was already in
+// force, or an operation was repeated.
 func (c Change) Empty() bool {
 	return c.Base == c.Revision
 }
 
-// Apply returns the state after a change. It only moves forward: ok is false
-// when the change does not start at the state's revision (a whole one: is not
-// newer) or is malformed.
+// Apply returns the state after a change. It only moves forward: ok is false if
+// the change is not newer, is malformed, or is not whole and does not start at
+// the state's revision.
 func Apply(state State, change Change) (next State, ok bool) {
 	switch {
 	case change.Revision <= state.Revision:
@@ -113,8 +113,8 @@
 	return next, true
 }
 
-// applyRows changes the maps of s in place; the caller owns them. The ring of
-// keys is replaced once for all rows, since each replacement copies it.
+// applyRows changes the maps of s, owned by the caller, in place. The keyring
+// is replaced once for all rows, since each replacement copies it.
 func (s *State) applyRows(rows []table.Write) error {
 	keys := make(map[string]keyring.Key)
 	var removed []string
@@ -155,15 +155,15 @@
 	return nil
 }
 
-// between returns the change from one state to the next revision, whose rows
-// are after's. Entries and keys that differ are stamped with that revision.
-func between(before, after State) (Change, error) {
+// diff returns the change from before to after as the next revision. Entries
+// and keys that differ are given that revision.
+func diff(before, after State) (Change, error) {
 	change := Change{Base: before.Revision, Revision: before.Revision}
 	old, err := before.Rows()
 	if err != nil {
 		return change, err
 	}
-	revised := after.stamped(before)
+	revised := after.withRevisions(before)
 	rows, err := revised.Rows()
 	if err != nil {
 		return change, err
@@ -184,9 +184,9 @@
 	return change, nil
 }
 
-// stamped sets the revision of each entry and key: the old one where nothing
-// else differs, or the one after before's.
-func (s State) stamped(before State) State {
+// withRevisions sets the revision of each entry and key: the old one if nothing
+// else differs, otherwise the one that follows before's.
+func (s State) withRevisions(before State) State {
 	next := before.Revision + 1
 	out := State{Catalogue: s.Catalogue.Clone(), Keys: s.Keys}
 	changed := make(map[string]bool)
--- a/internal/revision/transaction.go
+++ b/internal/revision/transaction.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// rememberedOperations bounds the operation ids in their row.
-	rememberedOperations = 256
-	// commitAttempts bounds how often a transaction starts over.
-	commitAttempts = 16
+	// maxStoredOperations bounds the operation IDs in their row.
+	maxStoredOperations = 256
+	// maxCommitAttempts bounds the attempts of a transaction.
+	maxCommitAttempts = 16
 )
 
-// ErrContended means that other operators committed first each time.
+// ErrContended means that other commits came first in every attempt.
 var ErrContended = errors.New("configuration changes too quickly")
 
 // ErrFenced means that a guard condition did not hold: the committing process
 // is no longer a member of the roster.
 var ErrFenced = errors.New("this manager is no longer a member of the roster")
 
-// RaceError means that the expected revision was not the newest one. Nothing
-// was written.
-type RaceError struct {
+// StaleRevisionError means that the expected revision was not the newest one.
+// Nothing was written.
+type StaleRevisionError struct {
 	Expected, Found uint64
 }
 
 // Error implements error.
-func (e *RaceError) Error() string {
+func (e *StaleRevisionError) Error() string {
 	return fmt.Sprintf("configuration is at revision %d, not at %d", e.Found, e.Expected)
 }
 
-// ReusedError means that an operation id was used before for another change.
+// ReusedError means that an operation ID was used before for another change.
 type ReusedError struct {
 	ID       string
 	Revision uint64
@@ -46,25 +46,28 @@
 	return fmt.Sprintf("operation %q was used for another change, at revision %d", e.ID, e.Revision)
 }
 
-// Operation identifies a change, so that it can be repeated after a lost answer.
+// Operation identifies a change, so that it can be repeated after a lost reply.
 type Operation struct {
-	// ID is the operator's. Without one a lost answer cannot be settled.
+	// ID is chosen by the operator. Without one, the outcome can't be resolved
+	// after a lost reply.
 	ID string
-	// Digest identifies the change itself; a repeat must bring the same.
+	// Digest identifies the change itself. A repeated operation must have the
+	// same digest.
 	Digest string
-	// Expected is the revision that the operator saw, or nil for any.
+	// Expected is the revision that the operator's change is based on, or nil
+	// for any.
 	Expected *uint64
-	// Guard must hold at the commit: the row of the committing manager in the
-	// roster, so that a manager declared gone commits nothing afterwards.
+	// Guard holds further conditions of the commit: the roster row of the
+	// committing manager, so that a manager declared gone can't commit.
 	Guard []table.Condition
 }
 
 // Edit returns the desired state. It must not change the maps of current, and
-// must return the same for the same input.
+// must be deterministic.
 type Edit func(current State) (State, error)
 
-// head is the value of the head row, which every process polls: the operations
-// stand in a row of their own to keep it small.
+// head is the value of the head row, which every process polls. The operations
+// are in a row of their own to keep the head small.
 type head struct {
 	Revision uint64 `json:"revision"`
 	version  uint64
@@ -85,32 +88,32 @@
 	return nil
 }
 
-// history is the value of the operations' row, the newest first.
-type history []doneOperation
+// operationHistory is the value of the operations' row, the newest first.
+type operationHistory []completedOperation
 
-type doneOperation struct {
+type completedOperation struct {
 	ID       string `json:"id"`
 	Digest   string `json:"digest,omitempty"`
 	Revision uint64 `json:"revision"`
 }
 
-// find returns the earlier result of an operation.
-func (h history) find(op Operation) (doneOperation, bool) {
-	for _, done := range h {
-		if op.ID != "" && done.ID == op.ID {
-			return done, true
+// find returns the completed operation with the ID of op, if there is one.
+func (h operationHistory) find(op Operation) (completedOperation, bool) {
+	for _, completed := range h {
+		if op.ID != "" && completed.ID == op.ID {
+			return completed, true
 		}
 	}
-	return doneOperation{}, false
+	return completedOperation{}, false
 }
 
-// with returns the history after the operation.
-func (h history) with(op Operation, number uint64) history {
+// with returns the history with the operation added.
+func (h operationHistory) with(op Operation, revision uint64) operationHistory {
 	if op.ID == "" {
 		return h
 	}
-	next := append(history{{ID: op.ID, Digest: op.Digest, Revision: number}}, h...)
-	return next[:min(len(next), rememberedOperations)]
+	next := append(operationHistory{{ID: op.ID, Digest: op.Digest, Revision: revision}}, h...)
+	return next[:min(len(next), maxStoredOperations)]
 }
 
 // Head returns the newest committed revision.
@@ -129,48 +132,48 @@
 	return config.state, err
 }
 
-// loaded is everything below Prefix.
-type loaded struct {
-	state State
-	head  head
-	done  history
+// storedConfig holds all rows below Prefix.
+type storedConfig struct {
+	state   State
+	head    head
+	history operationHistory
 }
 
-func load(ctx context.Context, store table.Store) (loaded, error) {
+func load(ctx context.Context, store table.Store) (storedConfig, error) {
 	rows, err := store.Scan(ctx, Prefix)
 	if err != nil {
-		return loaded{}, err
+		return storedConfig{}, err
 	}
-	config := loaded{state: Empty()}
+	config := storedConfig{state: Empty()}
 	var writes []table.Write
 	for _, row := range rows {
 		switch row.Key {
 		case headKey:
 			config.head, err = decodeHead(row)
 		case operationsKey:
-			err = decodeRow(row, &config.done)
+			err = decodeRow(row, &config.history)
 		default:
 			writes = append(writes, table.Write{Key: row.Key, Value: row.Value})
 		}
 		if err != nil {
-			return loaded{}, err
+			return storedConfig{}, err
 		}
 	}
 	if err := config.state.applyRows(writes); err != nil {
-		return loaded{}, err
+		return storedConfig{}, err
 	}
 	config.state.Revision = config.head.Revision
 	return config, nil
 }
 
-// Transaction commits one change. A repeated operation returns the revision of
-// its first run, in a change that is Empty. Errors: *RaceError, *ReusedError,
-// ErrContended, ErrFenced, the edit's and the store's; when table.IsUnknown
-// holds, the change may have taken effect and the same operation should be
-// repeated.
+// Transaction commits one change. A repeated operation returns an Empty change
+// with the revision of its first commit. Errors are *StaleRevisionError,
+// *ReusedError, ErrContended, ErrFenced, and those of the edit and the store.
+// If table.IsUnknown holds, the change may have taken effect and the same
+// operation should be repeated.
 func Transaction(ctx context.Context, store table.Store, op Operation, edit Edit) (Change, error) {
-	uncertain := false
-	for range commitAttempts {
+	outcomeUnknown := false
+	for range maxCommitAttempts {
 		change, err := attempt(ctx, store, op, edit)
 		switch {
 		case err == nil:
@@ -178,36 +181,40 @@
 		case table.IsUnknown(err) && op.ID == "":
 			return Change{}, err
 		case table.IsUnknown(err):
-			// The next attempt finds the operation in its row, or takes
-			// the head's version, after which the lost one cannot commit.
-			uncertain = true
+			// The next attempt finds the operation in its row, or commits
+			// on the head's version, so that the lost commit can't succeed
+			// later.
+			outcomeUnknown = true
 		case isGuardConflict(err, op.Guard):
 			return Change{}, errors.Wrap(ErrFenced, err.Error())
 		case table.IsConflict(err):
-		case uncertain && isStoreError(err):
+		case outcomeUnknown && isStoreError(err):
 			return Change{}, errors.Wrap(table.ErrUnknown, err.Error())
 		default:
 			return Change{}, err
 		}
 		if err := ctx.Err(); err != nil {
-			return Change{}, settleError(uncertain, err)
+			return Change{}, outcomeError(outcomeUnknown, err)
 		}
 	}
-	return Change{}, settleError(uncertain, ErrContended)
+	return Change{}, outcomeError(outcomeUnknown, ErrContended)
 }
 
-func settleError(uncertain bool, err error) error {
-	if uncertain {
+// outcomeError marks err as an unknown outcome if an earlier commit of the
+// transaction may have taken effect.
+func outcomeError(outcomeUnknown bool, err error) error {
+	if outcomeUnknown {
 		return errors.Wrap(table.ErrUnknown, err.Error())
 	}
 	return err
 }
 
-// isStoreError reports whether err leaves open what an earlier commit did.
+// isStoreError reports whether err leaves the outcome of an earlier commit
+// unknown.
 func isStoreError(err error) bool {
-	var race *RaceError
+	var stale *StaleRevisionError
 	var reused *ReusedError
-	return !errors.As(err, &race) && !errors.As(err, &reused)
+	return !errors.As(err, &stale) && !errors.As(err, &reused)
 }
 
 func isGuardConflict(err error, guard []table.Condition) bool {
@@ -228,22 +235,22 @@
 	if err != nil {
 		return Change{}, err
 	}
-	if done, repeated := config.done.find(op); repeated {
-		return repeat(op, done)
+	if completed, repeated := config.history.find(op); repeated {
+		return repeatedResult(op, completed)
 	}
 	state := config.state
 	if op.Expected != nil && *op.Expected != state.Revision {
-		return Change{}, &RaceError{Expected: *op.Expected, Found: state.Revision}
+		return Change{}, &StaleRevisionError{Expected: *op.Expected, Found: state.Revision}
 	}
 	desired, err := edit(state)
 	if err != nil {
 		return Change{}, err
 	}
-	change, err := between(state, desired)
+	change, err := diff(state, desired)
 	if err != nil || change.Empty() {
 		return change, err
 	}
-	writes, err := bookkeeping(change.Revision, config.done.with(op, change.Revision))
+	writes, err := metadataWrites(change.Revision, config.history.with(op, change.Revision))
 	if err != nil {
 		return Change{}, err
 	}
@@ -253,31 +260,31 @@
 	})
 }
 
-// bookkeeping returns the writes of the head and the operations.
-func bookkeeping(number uint64, done history) ([]table.Write, error) {
-	headValue, err := json.Marshal(head{Revision: number})
+// metadataWrites returns the writes of the head row and the operations' row.
+func metadataWrites(revision uint64, history operationHistory) ([]table.Write, error) {
+	headValue, err := json.Marshal(head{Revision: revision})
 	if err != nil {
 		return nil, err
 	}
-	doneValue, err := json.Marshal(done)
+	historyValue, err := json.Marshal(history)
 	if err != nil {
 		return nil, err
 	}
-	return []table.Write{{Key: headKey, Value: headValue}, {Key: operationsKey, Value: doneValue}}, nil
+	return []table.Write{{Key: headKey, Value: headValue}, {Key: operationsKey, Value: historyValue}}, nil
 }
 
-func repeat(op Operation, done doneOperation) (Change, error) {
-	if done.Digest != op.Digest {
-		return Change{}, &ReusedError{ID: op.ID, Revision: done.Revision}
+func repeatedResult(op Operation, completed completedOperation) (Change, error) {
+	if completed.Digest != op.Digest {
+		return Change{}, &ReusedError{ID: op.ID, Revision: completed.Revision}
 	}
-	return Change{Base: done.Revision, Revision: done.Revision}, nil
+	return Change{Base: completed.Revision, Revision: completed.Revision}, nil
 }
 
-// Settle returns the newest revision after making sure that no commit sent
-// before can take effect any more: it rewrites the head row, on whose version
-// every commit is conditional. A manager calls it after a Transaction whose
-// outcome stayed unknown.
-func Settle(ctx context.Context, store table.Store) (uint64, error) {
+// Resolve returns the newest revision after ensuring that no commit sent before
+// can still take effect: it rewrites the head row, on whose version every
+// commit is conditional. A manager calls it after a Transaction whose outcome
+// is unknown.
+func Resolve(ctx context.Context, store table.Store) (uint64, error) {
 	rows, err := store.Get(ctx, headKey)
 	if err != nil {
 		return 0, err
--- a/internal/revision/transaction_test.go
+++ b/internal/revision/transaction_test.go
@@ -15,15 +15,15 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// brokenStore loses answers, refuses calls and lets another operator in
+// faultyStore loses replies, fails calls and lets another operator commit
 // between a read and the commit that follows it.
-type brokenStore struct {
+type faultyStore struct {
 	*table.Memory
 	t     *rapid.T
 	rival func()
 }
 
-func (s *brokenStore) Commit(ctx context.Context, txn table.Txn) error {
+func (s *faultyStore) Commit(ctx context.Context, txn table.Txn) error {
 	if rival := s.rival; rival != nil && rapid.IntRange(0, 3).Draw(s.t, "rival") == 0 {
 		s.rival = nil
 		rival()
@@ -43,7 +43,7 @@
 	return s.Memory.Commit(ctx, txn)
 }
 
-func (s *brokenStore) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
+func (s *faultyStore) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
 	if rapid.IntRange(0, 5).Draw(s.t, "scan") == 0 {
 		return nil, table.ErrUnavailable
 	}
@@ -62,7 +62,7 @@
 func TestOperationsApplyOnce(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(t *rapid.T) {
-		store := &brokenStore{Memory: table.NewMemory(), t: t}
+		store := &faultyStore{Memory: table.NewMemory(), t: t}
 		rivals := 0
 		store.rival = func() {
 			rivals++
@@ -103,17 +103,17 @@
 func runUntilKnown(ctx context.Context, t *rapid.T, store table.Store, op revision.Operation) bool {
 	for range 1000 {
 		change, err := revision.Transaction(ctx, store, op, addLimit)
-		var race *revision.RaceError
+		var stale *revision.StaleRevisionError
 		switch {
 		case err == nil:
-			again, err := revision.Transaction(ctx, store.(*brokenStore).Memory, op, addLimit)
-			if err != nil || again.Revision != change.Revision {
-				t.Fatalf("repeated: got %+v, %v, want revision %d", again, err, change.Revision)
+			repeated, err := revision.Transaction(ctx, store.(*faultyStore).Memory, op, addLimit)
+			if err != nil || repeated.Revision != change.Revision {
+				t.Fatalf("repeated: got %+v, %v, want revision %d", repeated, err, change.Revision)
 			}
 			return true
-		case errors.As(err, &race):
-			if race.Expected != *op.Expected || race.Found <= race.Expected {
-				t.Fatalf("got %+v, want expected %d and a later one", race, *op.Expected)
+		case errors.As(err, &stale):
+			if stale.Expected != *op.Expected || stale.Found <= stale.Expected {
+				t.Fatalf("got %+v, want expected %d and a later one", stale, *op.Expected)
 			}
 			return false
 		case table.IsUnknown(err), errors.Is(err, table.ErrUnavailable):
@@ -125,8 +125,9 @@
 	return false
 }
 
-// Applying the changes one by one gives what a load of the table gives.
-func TestChangesReplayToTheLoadedState(t *testing.T) {
+// TestChangesReplayToLoadedState checks that applying the changes one by one
+// results in the state that Load returns.
+func TestChangesReplayToLoadedState(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(t *rapid.T) {
 		store, got := table.NewMemory(), revision.Empty()
@@ -178,14 +179,14 @@
 	return next
 }
 
-func TestTransactionRefusals(t *testing.T) {
+func TestTransactionErrors(t *testing.T) {
 	ctx := context.Background()
 	old := uint64(0)
 	tests := map[string]struct {
 		op   revision.Operation
 		want any
 	}{
-		"expected revision is old": {revision.Operation{ID: "new", Expected: &old}, &revision.RaceError{Expected: 0, Found: 1}},
+		"expected revision is old": {revision.Operation{ID: "new", Expected: &old}, &revision.StaleRevisionError{Expected: 0, Found: 1}},
 		"id of another change":     {revision.Operation{ID: "first", Digest: "other"}, &revision.ReusedError{ID: "first", Revision: 1}},
 	}
 	for name, tc := range tests {
@@ -208,8 +209,9 @@
 	})
 }
 
-// A commit that is still under way when Settle returns has no effect.
-func TestSettleEndsOlderCommits(t *testing.T) {
+// TestResolveInvalidatesOlderCommits checks that a commit that is still in
+// flight when Resolve returns has no effect.
+func TestResolveInvalidatesOlderCommits(t *testing.T) {
 	ctx := context.Background()
 	store := &lateStore{Memory: table.NewMemory()}
 	if _, err := revision.Transaction(ctx, store.Memory, revision.Operation{}, addLimit); err != nil {
@@ -218,7 +220,7 @@
 	if _, err := revision.Transaction(ctx, store, revision.Operation{ID: "late"}, addLimit); !table.IsUnknown(err) {
 		t.Fatalf("got %v, want unknown", err)
 	}
-	got, err := revision.Settle(ctx, store.Memory)
+	got, err := revision.Resolve(ctx, store.Memory)
 	if err != nil || got != 1 {
 		t.Fatalf("got %d, %v, want revision 1", got, err)
 	}
@@ -227,7 +229,7 @@
 	}
 }
 
-// lateStore keeps a commit under way and then becomes unreachable.
+// lateStore keeps a commit in flight and then becomes unreachable.
 type lateStore struct {
 	*table.Memory
 	late      table.Txn
