--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -1,9 +1,10 @@
-// Package catalogue holds what operators declare: teams, services and queues.
+// Package catalogue represents the teams, services and queues that operators
+// declare.
 //
 // # Usage
 //
-// A catalogue is read from an INI file, in which every mistake is reported at
-// once, or from the JSON of the operators' API:
+// A catalogue is read from an INI file or from the JSON of the operators' API.
+// All mistakes are reported at once:
 //
 //	desired, problems := catalogue.Parse("catalogue.ini", file)
 //	if err := problems.Err(); err != nil {
@@ -13,7 +14,7 @@
 //		fmt.Println(change)
 //	}
 //
-// Values are immutable by convention: Clone before changing a map.
+// Values are immutable by convention: call Clone before changing a map.
 package catalogue
 
 import (
@@ -21,8 +22,8 @@
 	"slices"
 )
 
-// Catalogue is the whole declaration, by name. Services and queues share one
-// name space.
+// Catalogue holds all teams and entries by name. Services and queues share one
+// namespace.
 type Catalogue struct {
 	Teams   map[string]Team
 	Entries map[string]Entry
@@ -33,7 +34,7 @@
 	return Catalogue{Teams: make(map[string]Team), Entries: make(map[string]Entry)}
 }
 
-// Clone returns a catalogue whose maps may be changed.
+// Clone returns a copy whose maps may be changed.
 func (c Catalogue) Clone() Catalogue {
 	clone := New()
 	maps.Copy(clone.Teams, c.Teams)
@@ -44,19 +45,19 @@
 	return clone
 }
 
-// TeamNames returns the teams' names in order.
+// TeamNames returns the sorted names of the teams.
 func (c Catalogue) TeamNames() []string {
 	return slices.Sorted(maps.Keys(c.Teams))
 }
 
-// EntryNames returns the entries' names in order.
+// EntryNames returns the sorted names of the entries.
 func (c Catalogue) EntryNames() []string {
 	return slices.Sorted(maps.Keys(c.Entries))
 }
 
-// Weight returns the team's weight when it competes for the entry: the one in
-// the entry's shares, or the team's own share on an open queue, or 0 when the
-// entry does not admit the team.
+// Weight returns the team's weight in competing for the entry: the weight in
+// the entry's shares, else the team's own share if the entry admits the team,
+// as an open queue does, else 0.
 func (c Catalogue) Weight(entry Entry, team string) int {
 	if weight, ok := entry.Shares[team]; ok {
 		return weight
@@ -67,11 +68,11 @@
 	return 0
 }
 
-// Team is a group of submitters.
+// Team is a group of submitters with a common limit.
 type Team struct {
 	Name string
-	// UpperLimit bounds what the team has running across the fleet.
+	// UpperLimit bounds the team's running work across the fleet.
 	UpperLimit int
-	// Share is the team's weight where an entry's shares name none.
+	// Share is the team's weight for entries whose shares don't list it.
 	Share int
 }
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestFormatsReadBack(t *testing.T) {
+func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawCatalogue(t, "catalogue")
 		got, problems := catalogue.Parse("f", bytes.NewReader(catalogue.Format(want)))
@@ -115,7 +115,8 @@
 	})
 }
 
-// Applying the ops of a difference by name turns one catalogue into the other.
+// TestDiffIsComplete checks that applying the ops of a difference by name turns
+// one catalogue into the other.
 func TestDiffIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawCatalogue(t, "before"), drawCatalogue(t, "after")
@@ -189,7 +190,8 @@
 	})
 }
 
-// Whatever the API accepts can be written to a file and read back.
+// FuzzFromAPI checks that a catalogue accepted from the API round-trips through
+// a file.
 func FuzzFromAPI(f *testing.F) {
 	f.Add([]byte(`{"teams":[{"name":"a","upper-limit":1}],"entries":[{"name":"b","kind":"queue","team":"a","open":true,"deadline":"2s","shares":{"a":2}}]}`))
 	f.Add([]byte(`{"teams":[{"name":""}],"entries":[{"name":"b","max-body":-1,"availability":1e-320,"longest-run":"1ns"}]}`))
--- a/internal/catalogue/diff.go
+++ b/internal/catalogue/diff.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Op tells what a change does to a team or entry.
+// Op is the kind of change made to a team or entry.
 type Op string
 
-// The ops of a change.
+// Ops of a change.
 const (
 	OpAdd    Op = "add"
 	OpChange Op = "change"
@@ -36,16 +36,16 @@
 	return text
 }
 
-// Diff returns what turns before into after: teams first, each in the order of
-// names. Revisions are not compared.
+// Diff returns the changes that turn before into after: teams first, then
+// entries, each sorted by name. Revisions are not compared.
 func Diff(before, after Catalogue) []Change {
 	var changes []Change
-	for _, name := range union(before.Teams, after.Teams) {
+	for _, name := range sortedUnion(before.Teams, after.Teams) {
 		a, inBefore := before.Teams[name]
 		b, inAfter := after.Teams[name]
 		changes = appendChange(changes, "team", name, teamFields(a, inBefore), teamFields(b, inAfter))
 	}
-	for _, name := range union(before.Entries, after.Entries) {
+	for _, name := range sortedUnion(before.Entries, after.Entries) {
 		a, inBefore := before.Entries[name]
 		b, inAfter := after.Entries[name]
 		kind := string(b.Kind)
@@ -78,7 +78,8 @@
 	return append(changes, change)
 }
 
-func union[V any](a, b map[string]V) []string {
+// sortedUnion returns the sorted keys of both maps, without duplicates.
+func sortedUnion[V any](a, b map[string]V) []string {
 	names := slices.AppendSeq(slices.Collect(maps.Keys(a)), maps.Keys(b))
 	slices.Sort(names)
 	return slices.Compact(names)
--- a/internal/catalogue/entry.go
+++ b/internal/catalogue/entry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind tells services from queues.
+// Kind distinguishes services from queues.
 type Kind string
 
 // The kinds of entries.
@@ -11,7 +11,7 @@
 	KindQueue   Kind = "queue"
 )
 
-// Class orders work before shares do.
+// Class is a priority class. It takes precedence over shares.
 type Class string
 
 // The classes, most urgent first.
@@ -28,28 +28,29 @@
 	// Team owns the entry.
 	Team  string
 	Class Class
-	// Open admits work without a key; queues only.
+	// Open admits work without a key. Only queues can be open.
 	Open bool
-	// Shares holds the weight of each team that may use the entry, its owner
-	// always among them.
+	// Shares holds the weight of each team that may use the entry. It always
+	// includes the owner.
 	Shares map[string]int
-	// Limit bounds what runs at once for the entry; 0 sets no bound.
+	// Limit bounds the entry's concurrently running work; 0 means no bound.
 	Limit int
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody int64
-	// Deadline is the one of a request that brings none.
+	// Deadline is the default for requests that don't set one.
 	Deadline time.Duration
-	// LongestRun is how long work may still run after it was given up on.
+	// LongestRun bounds how long work can run, also after its caller has
+	// stopped waiting.
 	LongestRun time.Duration
-	// Availability is the share of requests to be served, such as 0.999.
+	// Availability is the target fraction of requests served, such as 0.999.
 	Availability float64
 	Pool         string
-	// Revision is the one that last changed the entry.
+	// Revision is the configuration revision that last changed the entry.
 	Revision uint64
 }
 
-// Admits reports whether the team may use the entry: its owner, a team in its
-// shares, or any team when it is open.
+// Admits reports whether the team may use the entry: the owner, the teams in
+// its shares and, if it is open, any team.
 func (e Entry) Admits(team string) bool {
 	if e.Open || team == e.Team {
 		return true
--- a/internal/catalogue/format.go
+++ b/internal/catalogue/format.go
@@ -11,12 +11,12 @@
 	"github.com/lovagedyke/lovagedyke/internal/bytesize"
 )
 
-// field is one "name = value" of a section.
+// field is one "name = value" line of a section.
 type field struct {
 	name, value string
 }
 
-// Format writes the catalogue as INI that Parse reads back.
+// Format returns the catalogue in the INI format that Parse reads.
 func Format(c Catalogue) []byte {
 	var b strings.Builder
 	for _, name := range c.TeamNames() {
@@ -39,7 +39,7 @@
 	}
 }
 
-// teamFields returns nil for a team that is not there.
+// teamFields returns the team's fields, or nil if the team doesn't exist.
 func teamFields(t Team, exists bool) []field {
 	if !exists {
 		return nil
@@ -50,8 +50,9 @@
 	}
 }
 
-// entryFields returns nil for an entry that is not there. The kind comes
-// first: in a file it stands in the section's name.
+// entryFields returns the entry's fields, or nil if the entry doesn't exist.
+// The kind comes first, so that Format can omit it: in a file it is part of the
+// section's name.
 func entryFields(e Entry, exists bool) []field {
 	if !exists {
 		return nil
@@ -79,7 +80,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// formatDuration leaves out the trailing zero units of time.Duration.String.
+// formatDuration omits the trailing zero units of time.Duration.String.
 func formatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
--- a/internal/catalogue/json.go
+++ b/internal/catalogue/json.go
@@ -7,7 +7,7 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// API returns the catalogue in the form of the operators' API, sorted by name.
+// API converts the catalogue to the type of the operators' API, sorted by name.
 func (c Catalogue) API() api.Catalogue {
 	out := api.Catalogue{Teams: []api.Team{}, Entries: []api.Entry{}}
 	for _, name := range c.TeamNames() {
@@ -19,8 +19,9 @@
 	return out
 }
 
-// FromAPI reads the form of the operators' API. Missing values take their
-// defaults; every mistake is a problem that names the field.
+// FromAPI converts a catalogue from the type of the operators' API. Missing
+// values are set to their defaults. Each mistake is reported as a problem that
+// names the field.
 func FromAPI(in api.Catalogue) (Catalogue, Problems) {
 	var problems Problems
 	c := New()
@@ -39,7 +40,7 @@
 	return c, append(problems, c.Validate()...)
 }
 
-// API returns the entry in the form of the operators' API.
+// API converts the entry to the type of the operators' API.
 func (e Entry) API() api.Entry {
 	return api.Entry{
 		Name:         e.Name,
--- a/internal/catalogue/parse.go
+++ b/internal/catalogue/parse.go
@@ -16,36 +16,36 @@
 	"github.com/lovagedyke/lovagedyke/internal/problem"
 )
 
-// largestFile bounds a catalogue file, in bytes.
-const largestFile = 16 << 20
+// maxFileSize bounds a catalogue file, in bytes.
+const maxFileSize = 16 << 20
 
 var (
-	sectionKinds = []string{"team", string(KindService), string(KindQueue)}
-	teamNames    = []string{"upper-limit", "share"}
-	entryNames   = []string{"team", "class", "open", "shares", "limit", "max-body", "deadline", "longest-run", "availability", "pool"}
+	sectionKinds    = []string{"team", string(KindService), string(KindQueue)}
+	teamFieldNames  = []string{"upper-limit", "share"}
+	entryFieldNames = []string{"team", "class", "open", "shares", "limit", "max-body", "deadline", "longest-run", "availability", "pool"}
 )
 
 // Parse reads a catalogue from INI with the sections [team <name>],
-// [service <name>] and [queue <name>]. It reports every mistake with its line;
-// name stands for the file in them. The catalogue is valid when there are none.
+// [service <name>] and [queue <name>]. It reports every mistake with its line
+// and name as the file. The catalogue is valid if there are no problems.
 func Parse(name string, r io.Reader) (Catalogue, Problems) {
-	content, err := io.ReadAll(io.LimitReader(r, largestFile+1))
+	content, err := io.ReadAll(io.LimitReader(r, maxFileSize+1))
 	if err != nil {
 		return New(), Problems{{File: name, Message: fmt.Sprintf("is unreadable: %v", err)}}
 	}
-	if len(content) > largestFile {
-		return New(), Problems{{File: name, Message: "is too large", Want: fmt.Sprintf("at most %d bytes", largestFile)}}
+	if len(content) > maxFileSize {
+		return New(), Problems{{File: name, Message: "is too large", Want: fmt.Sprintf("at most %d bytes", maxFileSize)}}
 	}
 	file, problems := inifile.Parse(name, content)
 	p := parser{catalogue: New(), lines: make(map[string]int), file: name, problems: problems}
 	for _, section := range file.Sections {
 		p.readSection(section)
 	}
-	p.finish()
+	p.applyDefaultsAndValidate()
 	return p.catalogue, p.problems
 }
 
-// parser turns sections into a catalogue and remembers the line of each field.
+// parser builds a catalogue from sections and records the line of each field.
 type parser struct {
 	catalogue Catalogue
 	file      string
@@ -64,9 +64,9 @@
 		return
 	}
 	p.lines[fieldName(kind, name, "name")] = section.Line
-	known := entryNames
+	known := entryFieldNames
 	if kind == "team" {
-		known = teamNames
+		known = teamFieldNames
 	}
 	for _, key := range section.Keys {
 		p.lines[fieldName(kind, name, key.Name)] = key.Line
@@ -87,8 +87,8 @@
 	}
 	p.catalogue.Teams[p.name] = Team{
 		Name:       p.name,
-		UpperLimit: read(p, "upper-limit", 0, "a whole number", strconv.Atoi),
-		Share:      read(p, "share", defaultShare, "a whole number from 1 on", positive(strconv.Atoi)),
+		UpperLimit: parseField(p, "upper-limit", 0, "a whole number", strconv.Atoi),
+		Share:      parseField(p, "share", defaultShare, "a whole number from 1 on", positive(strconv.Atoi)),
 	}
 }
 
@@ -100,23 +100,23 @@
 	e := Entry{
 		Name:         p.name,
 		Kind:         Kind(p.kind),
-		Team:         read(p, "team", "", "a team", parseText),
-		Class:        Class(read(p, "class", string(ClassNormal), "urgent, normal or batch", parseText)),
-		Open:         read(p, "open", false, "true or false", strconv.ParseBool),
-		Shares:       read(p, "shares", nil, "<team>:<weight>, separated by commas", parseShares),
-		Limit:        read(p, "limit", 0, "a whole number", strconv.Atoi),
-		MaxBody:      read(p, "max-body", defaultMaxBody, "a size such as 512KiB or 4MiB", positive(bytesize.Parse)),
-		Deadline:     read(p, "deadline", defaultDeadline, "a duration such as 2s or 500ms", positive(time.ParseDuration)),
-		LongestRun:   read(p, "longest-run", 0, "a duration such as 2s or 10m", positive(time.ParseDuration)),
-		Availability: read(p, "availability", defaultAvailability, "a number such as 0.999", positive(parseFloat)),
-		Pool:         read(p, "pool", defaultPool, "a pool", parseText),
+		Team:         parseField(p, "team", "", "a team", parseText),
+		Class:        Class(parseField(p, "class", string(ClassNormal), "urgent, normal or batch", parseText)),
+		Open:         parseField(p, "open", false, "true or false", strconv.ParseBool),
+		Shares:       parseField(p, "shares", nil, "<team>:<weight>, separated by commas", parseShares),
+		Limit:        parseField(p, "limit", 0, "a whole number", strconv.Atoi),
+		MaxBody:      parseField(p, "max-body", defaultMaxBody, "a size such as 512KiB or 4MiB", positive(bytesize.Parse)),
+		Deadline:     parseField(p, "deadline", defaultDeadline, "a duration such as 2s or 500ms", positive(time.ParseDuration)),
+		LongestRun:   parseField(p, "longest-run", 0, "a duration such as 2s or 10m", positive(time.ParseDuration)),
+		Availability: parseField(p, "availability", defaultAvailability, "a number such as 0.999", positive(parseFloat)),
+		Pool:         parseField(p, "pool", defaultPool, "a pool", parseText),
 	}
 	p.catalogue.Entries[p.name] = e
 }
 
-// read returns the value of a field, or the fallback when it is left out or
-// malformed; the latter is a problem.
-func read[T any](p *parser, name string, fallback T, want string, parse func(string) (T, error)) T {
+// parseField returns the value of a field, or the fallback if it is missing or
+// malformed. A malformed value is reported as a problem.
+func parseField[T any](p *parser, name string, fallback T, want string, parse func(string) (T, error)) T {
 	value, declared := p.section.Get(name)
 	if !declared {
 		return fallback
@@ -129,8 +129,9 @@
 	return parsed
 }
 
-// finish fills in defaults, which need all teams, and validates.
-func (p *parser) finish() {
+// applyDefaultsAndValidate runs after all sections are read, since defaults of
+// entries depend on the teams.
+func (p *parser) applyDefaultsAndValidate() {
 	for name, entry := range p.catalogue.Entries {
 		p.catalogue.Entries[name] = withEntryDefaults(entry, p.catalogue.Teams)
 	}
@@ -142,7 +143,7 @@
 	p.problems.Sort()
 }
 
-// lineOf returns the line of a field, or of its section when it is left out.
+// lineOf returns the line of a field, or of its section if it is missing.
 func (p *parser) lineOf(field string) int {
 	if line, ok := p.lines[field]; ok {
 		return line
@@ -162,7 +163,8 @@
 	return text, nil
 }
 
-// positive refuses zero, which would stand for a value that is left out.
+// positive wraps parse to reject values that are not above zero, since zero
+// stands for a missing value.
 func positive[T cmp.Ordered](parse func(string) (T, error)) func(string) (T, error) {
 	return func(text string) (T, error) {
 		var zero T
--- a/internal/catalogue/validate.go
+++ b/internal/catalogue/validate.go
@@ -10,24 +10,24 @@
 	"github.com/lovagedyke/lovagedyke/internal/problem"
 )
 
-// Problem is one mistake of a catalogue.
+// Problem is one mistake in a catalogue.
 type Problem = problem.Problem
 
-// Problems lists every mistake of a catalogue.
+// Problems lists all mistakes in a catalogue.
 type Problems = problem.List
 
 const (
-	defaultShare        = 1
-	defaultMaxBody      = 1 << 20
-	defaultDeadline     = 30 * time.Second
-	defaultQueueRun     = time.Hour
-	defaultAvailability = 0.999
-	defaultPool         = "default"
-
-	largestShare = 1000
-	largestLimit = 1_000_000
-	largestBody  = 1 << 40
-	longestTime  = 7 * 24 * time.Hour
+	defaultShare           = 1
+	defaultMaxBody         = 1 << 20
+	defaultDeadline        = 30 * time.Second
+	defaultQueueLongestRun = time.Hour
+	defaultAvailability    = 0.999
+	defaultPool            = "default"
+
+	maxShare    = 1000
+	maxLimit    = 1_000_000
+	maxBodySize = 1 << 40
+	maxDuration = 7 * 24 * time.Hour
 )
 
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
@@ -39,8 +39,8 @@
 	return t
 }
 
-// withEntryDefaults fills in what the declaration leaves out and puts the
-// owner into the shares.
+// withEntryDefaults sets missing fields to their defaults and adds the owner to
+// the shares.
 func withEntryDefaults(e Entry, teams map[string]Team) Entry {
 	if e.Class == "" {
 		e.Class = ClassNormal
@@ -54,7 +54,7 @@
 	if e.LongestRun == 0 {
 		e.LongestRun = e.Deadline
 		if e.Kind == KindQueue {
-			e.LongestRun = max(e.Deadline, defaultQueueRun)
+			e.LongestRun = max(e.Deadline, defaultQueueLongestRun)
 		}
 	}
 	if e.Availability == 0 {
@@ -74,7 +74,7 @@
 	return e
 }
 
-// Validate returns every mistake, in the order of the names.
+// Validate returns all mistakes, teams first, each sorted by name.
 func (c Catalogue) Validate() Problems {
 	var problems Problems
 	for _, name := range c.TeamNames() {
@@ -89,7 +89,7 @@
 func (t Team) validate() Problems {
 	v := validator{kind: "team", name: t.Name}
 	v.checkName()
-	v.check(t.UpperLimit >= 0 && t.UpperLimit <= largestLimit, "upper-limit", fmt.Sprintf("is %d", t.UpperLimit), fmt.Sprintf("0 to %d", largestLimit))
+	v.check(t.UpperLimit >= 0 && t.UpperLimit <= maxLimit, "upper-limit", fmt.Sprintf("is %d", t.UpperLimit), fmt.Sprintf("0 to %d", maxLimit))
 	v.checkShare("share", t.Share)
 	return v.problems
 }
@@ -97,26 +97,26 @@
 func (e Entry) validate(teams []string) Problems {
 	v := validator{kind: string(e.Kind), name: e.Name}
 	v.checkName()
-	v.checkAmong("kind", string(e.Kind), []string{string(KindService), string(KindQueue)})
-	v.checkAmong("class", string(e.Class), []string{string(ClassUrgent), string(ClassNormal), string(ClassBatch)})
-	v.checkAmong("team", e.Team, teams)
+	v.checkOneOf("kind", string(e.Kind), []string{string(KindService), string(KindQueue)})
+	v.checkOneOf("class", string(e.Class), []string{string(ClassUrgent), string(ClassNormal), string(ClassBatch)})
+	v.checkOneOf("team", e.Team, teams)
 	v.check(!e.Open || e.Kind == KindQueue, "open", "is set on a service", "a queue, or open = false")
 	for _, team := range slices.Sorted(maps.Keys(e.Shares)) {
 		if team != e.Team {
-			v.checkAmong("shares", team, teams)
+			v.checkOneOf("shares", team, teams)
 		}
 		v.checkShare("shares", e.Shares[team])
 	}
-	v.check(e.Limit >= 0 && e.Limit <= largestLimit, "limit", fmt.Sprintf("is %d", e.Limit), fmt.Sprintf("0 (no bound) to %d", largestLimit))
-	v.check(e.MaxBody > 0 && e.MaxBody <= largestBody, "max-body", fmt.Sprintf("is %d bytes", e.MaxBody), "a size such as 4MiB")
-	v.checkTime("deadline", e.Deadline)
-	v.checkTime("longest-run", e.LongestRun)
+	v.check(e.Limit >= 0 && e.Limit <= maxLimit, "limit", fmt.Sprintf("is %d", e.Limit), fmt.Sprintf("0 (no bound) to %d", maxLimit))
+	v.check(e.MaxBody > 0 && e.MaxBody <= maxBodySize, "max-body", fmt.Sprintf("is %d bytes", e.MaxBody), "a size such as 4MiB")
+	v.checkDuration("deadline", e.Deadline)
+	v.checkDuration("longest-run", e.LongestRun)
 	v.check(e.Availability > 0 && e.Availability < 1, "availability", fmt.Sprintf("is %g", e.Availability), "more than 0 and less than 1, such as 0.999")
-	v.check(validName.MatchString(e.Pool), "pool", fmt.Sprintf("%q is malformed", e.Pool), nameForm)
+	v.check(validName.MatchString(e.Pool), "pool", fmt.Sprintf("%q is malformed", e.Pool), nameFormat)
 	return v.problems
 }
 
-const nameForm = "lower-case letters, digits and hyphens, at most 63"
+const nameFormat = "lower-case letters, digits and hyphens, at most 63"
 
 // validator collects the problems of one team or entry.
 type validator struct {
@@ -131,22 +131,22 @@
 }
 
 func (v *validator) checkName() {
-	v.check(validName.MatchString(v.name), "name", fmt.Sprintf("%q is malformed", v.name), nameForm)
+	v.check(validName.MatchString(v.name), "name", fmt.Sprintf("%q is malformed", v.name), nameFormat)
 }
 
-func (v *validator) checkAmong(field, value string, known []string) {
+func (v *validator) checkOneOf(field, value string, known []string) {
 	v.check(slices.Contains(known, value), field, fmt.Sprintf("%q is unknown", value), problem.Unknown(value, known))
 }
 
 func (v *validator) checkShare(field string, share int) {
-	v.check(share >= 1 && share <= largestShare, field, fmt.Sprintf("has weight %d", share), fmt.Sprintf("1 to %d", largestShare))
+	v.check(share >= 1 && share <= maxShare, field, fmt.Sprintf("has weight %d", share), fmt.Sprintf("1 to %d", maxShare))
 }
 
-func (v *validator) checkTime(field string, d time.Duration) {
-	v.check(d > 0 && d <= longestTime, field, fmt.Sprintf("is %s", d), fmt.Sprintf("more than 0 and at most %s", longestTime))
+func (v *validator) checkDuration(field string, d time.Duration) {
+	v.check(d > 0 && d <= maxDuration, field, fmt.Sprintf("is %s", d), fmt.Sprintf("more than 0 and at most %s", maxDuration))
 }
 
-// fieldName names a field in problems: "[service orders] limit".
+// fieldName returns the name of a field in problems: "[service orders] limit".
 func fieldName(kind, name, field string) string {
 	section := "[" + kind + " " + name + "]"
 	if field == "" {
