--- a/internal/charge/bench_test.go
+++ b/internal/charge/bench_test.go
@@ -45,7 +45,7 @@
 					for _, write := range commit.Txn.Writes {
 						size += len(write.Key) + len(write.Value)
 					}
-					effects = append(effects, recorder.HandleTableReply(now, commit.Call, nil)...)
+					effects = append(effects, recorder.HandleTableResult(now, commit.Call, nil)...)
 				}
 			}
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/float64(runs), "heap-bytes/run")
--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -26,7 +26,7 @@
 //	effects = append(effects, recorder.Tick(now)...)
 //	for _, effect := range effects {
 //		switch effect := effect.(type) {
-//		case charge.Commit: // call the table, then recorder.HandleTableReply
+//		case charge.Commit: // call the table, then recorder.HandleTableResult
 //		case charge.Mirror: // send to the peer, which calls recorder.HandleMirror
 //		}
 //	}
--- a/internal/charge/mirror.go
+++ b/internal/charge/mirror.go
@@ -12,7 +12,7 @@
 		return
 	}
 	var records []Record
-	for _, it := range r.unwritten() {
+	for _, it := range r.unpersisted() {
 		if len(records) == r.config.MaxBatch {
 			r.emit(Mirror{To: r.peer, From: r.config.Self, Records: records})
 			records = nil
@@ -28,11 +28,11 @@
 	}
 }
 
-// unwritten returns the items that may be missing in the table, oldest first.
-func (r *Recorder) unwritten() []*item {
-	var unwritten []*item
-	unwritten = append(unwritten, r.batch...)
-	return append(unwritten, r.queue...)
+// unpersisted returns the items that may be missing in the table, oldest first.
+func (r *Recorder) unpersisted() []*item {
+	var unpersisted []*item
+	unpersisted = append(unpersisted, r.batch...)
+	return append(unpersisted, r.queue...)
 }
 
 // HandleMirror buffers a peer's records and confirms those that fit.
--- a/internal/charge/recorder.go
+++ b/internal/charge/recorder.go
@@ -55,7 +55,7 @@
 type Effect interface{ effect() }
 
 // Commit requests a table transaction. Its result is passed to
-// HandleTableReply once.
+// HandleTableResult once.
 type Commit struct {
 	Call uint64
 	Txn  table.Txn
@@ -214,9 +214,9 @@
 	r.own--
 }
 
-// SetRoster chooses the peer that mirrors from the roster. A new peer is sent
+// ApplyRoster chooses the peer that mirrors from the roster. A new peer is sent
 // all records again.
-func (r *Recorder) SetRoster(now time.Time, members roster.Roster) []Effect {
+func (r *Recorder) ApplyRoster(now time.Time, members roster.Roster) []Effect {
 	primary, secondary := members.Pair(Prefix + r.config.Self.Name)
 	peer := primary
 	if primary.Name == r.config.Self.Name {
@@ -251,8 +251,8 @@
 	return len(r.items) == 0
 }
 
-// HandleTableReply handles the result of a Commit.
-func (r *Recorder) HandleTableReply(now time.Time, call uint64, err error) []Effect {
+// HandleTableResult handles the result of a Commit.
+func (r *Recorder) HandleTableResult(now time.Time, call uint64, err error) []Effect {
 	if call != r.call || r.batch == nil {
 		return r.flush(now)
 	}
--- a/internal/charge/recorder_test.go
+++ b/internal/charge/recorder_test.go
@@ -78,7 +78,7 @@
 	s.roster, _ = roster.Join(s.roster, roster.Member{Identity: self, Role: roster.RoleEntry, State: roster.StateActive}, s.now)
 	for _, q := range s.procs {
 		if q.alive {
-			s.execute(q, q.recorder.SetRoster(s.now, s.roster))
+			s.execute(q, q.recorder.ApplyRoster(s.now, s.roster))
 		}
 	}
 }
@@ -148,7 +148,7 @@
 
 func (s *simulation) reply(p *process, effect charge.Commit, err error) {
 	if p.alive {
-		s.execute(p, p.recorder.HandleTableReply(s.now, effect.Call, err))
+		s.execute(p, p.recorder.HandleTableResult(s.now, effect.Call, err))
 	}
 }
 
--- a/internal/entry/charges.go
+++ b/internal/entry/charges.go
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(ctx, chargeCallTimeout)
 	defer cancel()
 	err := c.node.Store().Commit(ctx, effect.Txn)
-	c.post(func(now time.Time) []charge.Effect { return c.book.HandleTableReply(now, effect.Call, err) })
+	c.post(func(now time.Time) []charge.Effect { return c.book.HandleTableResult(now, effect.Call, err) })
 }
 
 // mirror has a peer hold entries and feeds its confirmation back.
@@ -145,7 +145,7 @@
 
 // rosterChanged hands a roster to the book.
 func (c *charges) rosterChanged(members roster.Roster) {
-	c.post(func(now time.Time) []charge.Effect { return c.book.SetRoster(now, members) })
+	c.post(func(now time.Time) []charge.Effect { return c.book.ApplyRoster(now, members) })
 }
 
 // proven charges a run whose endpoint gave its whole answer.
--- a/internal/limit/actions_test.go
+++ b/internal/limit/actions_test.go
@@ -141,6 +141,6 @@
 
 func (s *simulation) replayRow(p *process) {
 	if len(s.committedRows) > 0 && !p.paused && !p.cut {
-		s.adopt(p, s.committedRows[s.intn(len(s.committedRows))])
+		s.applyRow(p, s.committedRows[s.intn(len(s.committedRows))])
 	}
 }
--- a/internal/limit/ledger.go
+++ b/internal/limit/ledger.go
@@ -180,8 +180,9 @@
 }
 
 // TransferRequests returns the requests for permits to send, given each peer's
-// last status. Peers with idle permits are asked first, in descending order. If
-// there are none, the peer that holds the most permits is asked.
+// last status. They go to the peers with idle permits, the most idle first. If
+// there are none, one goes to the peer that holds the most permits, provided
+// that it holds at least two more than this member.
 func (l *Ledger) TransferRequests(team string, peers map[Member]Status) []TransferRequest {
 	a := l.lock(team)
 	if a == nil {
--- a/internal/limit/ledger_test.go
+++ b/internal/limit/ledger_test.go
@@ -62,27 +62,27 @@
 				peers[peer] = f.ledgers[peer].Status(team)
 			}
 		}
-		f.askPeers(m, peers)
+		f.requestPermits(m, peers)
 	}
 	if !f.outage {
 		f.manage()
 	}
 }
 
-// ask makes one member request its missing permits from others.
-func (f *fleet) ask(from int, others ...int) {
+// requestFrom makes one member request its missing permits from others.
+func (f *fleet) requestFrom(from int, others ...int) {
 	peers := make(map[limit.Member]limit.Status)
 	for _, other := range others {
 		peers[f.view.Live[other]] = f.member(other).Status(team)
 	}
-	f.askPeers(f.view.Live[from], peers)
+	f.requestPermits(f.view.Live[from], peers)
 }
 
-func (f *fleet) askPeers(m limit.Member, peers map[limit.Member]limit.Status) {
-	for _, ask := range f.ledgers[m].TransferRequests(team, peers) {
-		if transfer, ok := f.ledgers[ask.To].HandleTransferRequest(ask); ok {
+func (f *fleet) requestPermits(m limit.Member, peers map[limit.Member]limit.Status) {
+	for _, request := range f.ledgers[m].TransferRequests(team, peers) {
+		if transfer, ok := f.ledgers[request.To].HandleTransferRequest(request); ok {
 			f.ledgers[m].Receive(transfer)
-			f.ledgers[ask.To].Confirm(transfer)
+			f.ledgers[request.To].Confirm(transfer)
 		}
 	}
 }
@@ -218,12 +218,12 @@
 			t.Logf("got a permit after %d rounds", round)
 			return
 		}
-		f.ask(2, 0, 1)
+		f.requestFrom(2, 0, 1)
 		for range permits / 2 {
 			for from, to := range []int{1, 0} {
 				f.finish(to)
 				f.start(from, permits)
-				f.ask(from, to)
+				f.requestFrom(from, to)
 				f.start(from, permits)
 			}
 		}
--- a/internal/limit/simulation_test.go
+++ b/internal/limit/simulation_test.go
@@ -156,11 +156,11 @@
 
 func (s *simulation) readRow(p *process) {
 	if row, _, ok := s.row(); ok && !p.paused && !p.cut {
-		s.adopt(p, row)
+		s.applyRow(p, row)
 	}
 }
 
-func (s *simulation) adopt(p *process, row limit.Allocation) {
+func (s *simulation) applyRow(p *process, row limit.Allocation) {
 	if carry, ok := row.Carried[p.self]; ok && s.mutations.adoptWhileCarried {
 		row.Granted = maps.Clone(row.Granted)
 		row.Granted[p.self] = max(0, carry.Bound)
@@ -255,8 +255,8 @@
 			peers[peer.self] = peer.ledger.Status(team)
 		}
 	}
-	for _, ask := range p.ledger.TransferRequests(team, peers) {
-		s.toMember(ask.To, func(sender *process) { s.handleRequest(sender, ask) })
+	for _, request := range p.ledger.TransferRequests(team, peers) {
+		s.toMember(request.To, func(sender *process) { s.handleRequest(sender, request) })
 	}
 	for _, transfer := range p.ledger.Unconfirmed() {
 		s.toMember(transfer.To, func(to *process) { s.receive(to, transfer) })
@@ -278,8 +278,8 @@
 	}
 }
 
-func (s *simulation) handleRequest(sender *process, ask limit.TransferRequest) {
-	transfer, ok := sender.ledger.HandleTransferRequest(ask)
+func (s *simulation) handleRequest(sender *process, request limit.TransferRequest) {
+	transfer, ok := sender.ledger.HandleTransferRequest(request)
 	if !ok {
 		return
 	}
--- a/internal/manager/configuration.go
+++ b/internal/manager/configuration.go
@@ -131,7 +131,7 @@
 	for _, id := range m.node.Answered() {
 		m.joiner.Acknowledge(revision.Member(id))
 	}
-	m.joiner.UpdateRoster(m.others(members))
+	m.joiner.ApplyRoster(m.others(members))
 	return m.joiner.Ready()
 }
 
--- a/internal/revision/committer_test.go
+++ b/internal/revision/committer_test.go
@@ -77,7 +77,7 @@
 		t.Errorf("got %v, want %v", err, revision.ErrJoining)
 	}
 	joiner.Acknowledge(revision.Member{Name: "entry"})
-	joiner.UpdateRoster([]revision.Member{{Name: "entry"}})
+	joiner.ApplyRoster([]revision.Member{{Name: "entry"}})
 	if err := commit(); err != nil {
 		t.Errorf("got %v, want no error", err)
 	}
--- a/internal/revision/joiner.go
+++ b/internal/revision/joiner.go
@@ -22,10 +22,10 @@
 	delete(j.pending, member)
 }
 
-// UpdateRoster applies a later read of the roster: members that have left need
+// ApplyRoster applies a later read of the roster: members that have left need
 // not acknowledge. Members that joined in between have read this process's own
 // registration.
-func (j *Joiner) UpdateRoster(members []Member) {
+func (j *Joiner) ApplyRoster(members []Member) {
 	present := make(map[Member]bool, len(members))
 	for _, member := range members {
 		present[member] = true
--- a/internal/revision/simulation_members_test.go
+++ b/internal/revision/simulation_members_test.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if s.connected(p, nil) {
-		p.joiner.UpdateRoster(s.others(p))
+		p.joiner.ApplyRoster(s.others(p))
 	}
 	for _, q := range s.processes {
 		if !slices.Contains(p.joiner.Pending(), q.Member) {
