--- /dev/null
+++ b/internal/limit/member.go
@@ -0,0 +1,12 @@
+package limit
+
+// IsMember reports whether the team's row lists the member, so that others may
+// transfer permits to it.
+func (l *Ledger) IsMember(team string, member Member) bool {
+	a := l.lock(team)
+	if a == nil {
+		return false
+	}
+	defer a.mu.Unlock()
+	return a.members[member]
+}
