--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -107,7 +107,7 @@
 	byShard := map[int][]table.Write{}
 	var progress table.Txn
 	for _, id := range ids {
-		shard := record.Shard(id)
+		shard := record.ShardOf(id)
 		byShard[shard] = append(byShard[shard],
 			table.Write{Key: record.JobKey(id), Delete: true}, table.Write{Key: record.CancelKey(id), Delete: true})
 		progress.Writes = append(progress.Writes, table.Write{Key: record.ProgressKey(id), Delete: true})
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -103,8 +103,8 @@
 func (r *reign) changeHosts(ctx context.Context, changes []hostOrder) {
 	var txn table.Txn
 	for _, next := range changes {
-		row := record.Change{At: time.Now().Round(0)}
-		txn.Writes = append(txn.Writes, table.Write{Key: record.ChangeKey(string(next.host())), Value: record.Encode(row)})
+		row := record.HostChange{At: time.Now().Round(0)}
+		txn.Writes = append(txn.Writes, table.Write{Key: record.HostChangeKey(string(next.host())), Value: record.Encode(row)})
 	}
 	if !r.writer.commit(ctx, txn, false) {
 		r.locked(func() {
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -60,7 +60,7 @@
 type loadedRows struct {
 	jobs    []fleet.Stored
 	waves   map[int64]record.Wave
-	changes map[fleet.HostID]record.Change
+	changes map[fleet.HostID]record.HostChange
 }
 
 // readRows reads jobs, cancels, progress, waves and changes of hosts.
@@ -92,20 +92,20 @@
 }
 
 // readChanges reads when each host was last about to be changed.
-func (r *reign) readChanges() (map[fleet.HostID]record.Change, error) {
-	rows, err := r.config.Store.Scan(r.ctx, record.ChangePrefix)
+func (r *reign) readChanges() (map[fleet.HostID]record.HostChange, error) {
+	rows, err := r.config.Store.Scan(r.ctx, record.HostChangePrefix)
 	if err != nil {
 		return nil, err
 	}
-	changes := map[fleet.HostID]record.Change{}
+	changes := map[fleet.HostID]record.HostChange{}
 	for _, row := range rows {
-		change, err := record.Decode[record.Change](row.Value)
+		change, err := record.Decode[record.HostChange](row.Value)
 		if err != nil {
 			r.config.Journal.Note("change not readable", "key", row.Key, "version", row.Version, "error", err.Error())
 			// As if it had been just now.
 			change.At = time.Now().Round(0)
 		}
-		changes[fleet.HostID(record.IDOf(row.Key))] = change
+		changes[fleet.HostID(record.LastSegment(row.Key))] = change
 	}
 	return changes, nil
 }
@@ -126,14 +126,14 @@
 	}
 	rows, err = r.config.Store.Scan(r.ctx, record.CancelPrefix(shard))
 	for _, row := range rows {
-		cancelled[job.ID(record.IDOf(row.Key))] = true
+		cancelled[job.ID(record.LastSegment(row.Key))] = true
 	}
 	return err
 }
 
 // addProgress decodes a progress row.
 func (r *reign) addProgress(stored map[job.ID]*fleet.Stored, row table.Row) {
-	entry := stored[job.ID(record.IDOf(row.Key))]
+	entry := stored[job.ID(record.LastSegment(row.Key))]
 	if entry == nil {
 		return
 	}
--- a/internal/control/reign.go
+++ b/internal/control/reign.go
@@ -186,7 +186,7 @@
 // cancelRow takes a cancel's row from the feed.
 func (r *reign) cancelRow(change table.Change) {
 	if !change.Removed {
-		r.cancelled(job.ID(record.IDOf(change.Row.Key)))
+		r.cancelled(job.ID(record.LastSegment(change.Row.Key)))
 	}
 }
 
--- a/internal/fleet/advice.go
+++ b/internal/fleet/advice.go
@@ -61,5 +61,5 @@
 	}
 	step.asked = false
 	step.granted = granted.Tickets
-	step.grantedUntil = now.Add(granted.Valid - ticketMargin)
+	step.grantedUntil = now.Add(granted.TicketLifetime - ticketMargin)
 }
--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -25,7 +25,7 @@
 // allows reports whether a task of the step may start on an endpoint.
 func (g group) allows(candidate *endpointRoom) bool {
 	step := g.step.step
-	if !step.Reserved().Fits(candidate.room) || !candidate.endpoint.hasLabel(step.Requires) {
+	if !step.Reserved().FitsIn(candidate.room) || !candidate.endpoint.hasLabel(step.Requires) {
 		return false
 	}
 	if g.step.granted != nil {
--- a/internal/fleet/end.go
+++ b/internal/fleet/end.go
@@ -66,7 +66,7 @@
 	e.trouble = trouble{}
 	key := job.StepKey{Occurrence: ended.Task.Occurrence, Step: ended.Task.Step}
 	step := j.submission.Steps[key.Step]
-	if step.Lasting {
+	if step.Persistent {
 		// A lasting task has to be there again, however it ended.
 		l.requeue(j, ended.Task, now)
 		return 0
@@ -122,7 +122,7 @@
 	if !slices.Contains(j.avoid[ended.Task], e.row.ID) {
 		j.avoid[ended.Task] = append(j.avoid[ended.Task], e.row.ID)
 	}
-	if step.Lasting {
+	if step.Persistent {
 		l.requeue(j, ended.Task, now)
 		return 0
 	}
--- a/internal/fleet/hosts_test.go
+++ b/internal/fleet/hosts_test.go
@@ -371,7 +371,7 @@
 func TestFillersArePaced(t *testing.T) {
 	serving, filler := lasting(1, 1), lasting(1, 1)
 	serving.TailTarget = 100 * time.Millisecond
-	filler.Filler = true
+	filler.BestEffort = true
 	tails := map[string]struct {
 		tail time.Duration
 		want int
--- a/internal/fleet/jobstate.go
+++ b/internal/fleet/jobstate.go
@@ -231,7 +231,7 @@
 
 // settle gives a job its final state once all its tasks are done.
 func (l *Leader) settle(j *jobState, now time.Time) {
-	if j.over() || j.submission.Lasting() || !j.progress.AllDone(j.submission) {
+	if j.over() || j.submission.Persistent() || !j.progress.AllDone(j.submission) {
 		return
 	}
 	j.progress.State = job.Complete
--- a/internal/fleet/leader_test.go
+++ b/internal/fleet/leader_test.go
@@ -164,8 +164,8 @@
 
 func lasting(count, mayMiss int) job.Step {
 	step := tasks(count)
-	step.Lasting = true
-	step.MayMiss = mayMiss
+	step.Persistent = true
+	step.MaxUnavailable = mayMiss
 	return step
 }
 
@@ -732,7 +732,7 @@
 	limited.MaxPerEndpoint = 2
 	labelled.Requires = "b"
 	huge.Resources.Memory = 70000
-	filler.Filler = true
+	filler.BestEffort = true
 	filler.Resources.CPU = 20000
 	cases := map[string]struct {
 		step job.Step
@@ -825,7 +825,7 @@
 
 func TestAdvice(t *testing.T) {
 	config := defaultPolicy()
-	config.Queues[0].Advice = &policy.Advice{Valid: 3 * time.Second}
+	config.Queues[0].Advice = &policy.Advice{TicketLifetime: 3 * time.Second}
 	w := newWorld(t, worldConfig{policy: config})
 	w.endpoint("a")
 	w.endpoint("b")
@@ -834,7 +834,7 @@
 	if len(orders.Starts) != 0 || len(orders.Asks) != 1 || len(orders.Asks[0].Endpoints) != 2 {
 		t.Fatalf("orders: got %+v, want one question about two endpoints", orders)
 	}
-	w.leader.Advised(orders.Asks[0], fleet.Granted{Tickets: map[fleet.EndpointID]string{"b": "t1"}, Valid: 3 * time.Second}, true, w.now)
+	w.leader.Advised(orders.Asks[0], fleet.Granted{Tickets: map[fleet.EndpointID]string{"b": "t1"}, TicketLifetime: 3 * time.Second}, true, w.now)
 	starts := w.step().Starts
 	if len(starts) != 2 {
 		t.Fatalf("starts: got %d, want 2", len(starts))
--- a/internal/fleet/move.go
+++ b/internal/fleet/move.go
@@ -215,7 +215,7 @@
 		for _, step := range j.steps {
 			each := step.step.Reserved()
 			active, pending := int64(j.activeOf(step.key)), int64(len(step.pending))
-			if step.step.Lasting {
+			if step.step.Persistent {
 				sums[layerLeast] = sums[layerLeast].Plus(each.Times(active + pending))
 				continue
 			}
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -53,8 +53,8 @@
 
 // Granted is the advice service's answer.
 type Granted struct {
-	Tickets map[EndpointID]string
-	Valid   time.Duration
+	Tickets        map[EndpointID]string
+	TicketLifetime time.Duration
 }
 
 // Move takes a host to another pool.
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -157,7 +157,7 @@
 
 // isLasting reports whether the run's task lasts until the job is cancelled.
 func (r *run) isLasting() bool {
-	return r.job != nil && r.job.submission.Steps[r.key.task.Step].Lasting
+	return r.job != nil && r.job.submission.Steps[r.key.task.Step].Persistent
 }
 
 // startGroup starts as many of a step's waiting tasks as fit.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,14 +1,14 @@
-// Package job models a job: its steps in a graph, the tasks of each step, the
-// occurrences of a scheduled job, and which of them have ended.
+// Package job models jobs: a graph of steps, the tasks of each step, the
+// occurrences of a scheduled job, and the progress of all of them.
 //
 // # Usage
 //
 //	if problem := submission.Validate(); problem != "" {
 //		// refuse: problem is the reason for the caller
 //	}
-//	progress := job.NewProgress(submission)
-//	progress.Done(task)
-//	if progress.StepReady(submission, occurrence, step) { ... }
+//	progress := job.NewProgress()
+//	progress.MarkDone(task)
+//	if progress.StepReady(submission, job.StepKey{Occurrence: 0, Step: 1}) { ... }
 package job
 
 import (
@@ -19,17 +19,17 @@
 )
 
 const (
-	// MaxSpec is the largest spec in bytes (the platform's page of calls).
+	// MaxSpec is the largest spec in bytes that the platform's API accepts.
 	MaxSpec = 4000
-	// MaxSteps bounds a job's graph; a job's row has to fit the store's row size.
+	// MaxSteps bounds the steps of a job, whose row must not exceed the store's maximum row size.
 	MaxSteps = 200
-	// MaxTasks bounds the tasks of one occurrence, so that one job cannot fill memory.
+	// MaxTasks bounds the tasks of one occurrence, so that one job cannot exhaust memory.
 	MaxTasks = 20_000
 	// idDigits is the length of an ID in hexadecimal digits.
 	idDigits = 16
 )
 
-// ID names a job; the caller chooses it.
+// ID identifies a job; the caller chooses it.
 type ID string
 
 // Valid reports whether the ID has 16 lower- or upper-case hexadecimal digits.
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Task names one task.
+// Task identifies one task of a job.
 type Task struct {
 	Job        ID
 	Occurrence int
@@ -54,83 +54,83 @@
 	Index      int
 }
 
-// StepKey names one step of one occurrence.
+// StepKey identifies one step of one occurrence.
 type StepKey struct {
 	Occurrence int
 	Step       int
 }
 
-// Step is a set of equal tasks.
+// Step describes a set of identical tasks.
 type Step struct {
 	Count     int              `json:"count"`
 	Resources policy.Resources `json:"resources"`
-	// Estimate is the caller's rough guess of a task's duration.
+	// Estimate is the caller's rough estimate of a task's duration.
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// After lists earlier steps that must be done first.
+	// After lists the earlier steps that this step depends on.
 	After []int `json:"after,omitempty"`
-	// Checkpoint tasks save their progress and can resume from it.
+	// Checkpoint is set if tasks save their progress and can resume from it.
 	Checkpoint bool `json:"checkpoint,omitempty"`
-	// Gang tasks work only together, and end together.
+	// Gang is set if the tasks only run together, and end together.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack tasks are slow on more than one rack.
+	// SameRack is set if the tasks are slow when spread over several racks.
 	SameRack bool `json:"same-rack,omitempty"`
-	// Requires is a label that the endpoint must have.
+	// Requires is a label that an endpoint must carry to run the tasks.
 	Requires string `json:"requires,omitempty"`
-	// Affinity is the rack on which the tasks are not slowed down.
+	// Affinity is the rack on which the tasks run at full speed.
 	Affinity string `json:"affinity,omitempty"`
-	// MaxPerEndpoint bounds the step's tasks on one endpoint; 0 is no bound.
+	// MaxPerEndpoint bounds the step's tasks on one endpoint; 0 means no limit.
 	MaxPerEndpoint int `json:"max-per-endpoint,omitempty"`
-	// Speculative tasks may run as parallel copies.
+	// Speculative is set if several copies of a task may run in parallel.
 	Speculative bool `json:"speculative,omitempty"`
-	// Lasting tasks run until the job is cancelled.
-	Lasting bool `json:"lasting,omitempty"`
-	// Image names what the tasks run; tasks of one image behave alike.
+	// Persistent is set if the tasks run until the job is cancelled.
+	Persistent bool `json:"lasting,omitempty"`
+	// Image is the image that the tasks run; tasks with the same image behave alike.
 	Image string `json:"image,omitempty"`
-	// TailTarget bounds the tail of a serving task's response times.
+	// TailTarget is the target for the tail latency of a serving task.
 	TailTarget time.Duration `json:"tail-target,omitempty"`
-	// Filler tasks use processor time that others leave; it is not reserved.
-	Filler bool `json:"filler,omitempty"`
-	// MayMiss is how many lasting tasks the system may have away at one time.
-	MayMiss int `json:"may-miss,omitempty"`
+	// BestEffort is set if the tasks use only idle CPU time, without a reservation.
+	BestEffort bool `json:"filler,omitempty"`
+	// MaxUnavailable is how many persistent tasks may be unavailable at once for maintenance or moves.
+	MaxUnavailable int `json:"may-miss,omitempty"`
 }
 
-// Reserved is what a task takes of a host's capacity.
+// Reserved returns the capacity that a task reserves on its host.
 func (s Step) Reserved() policy.Resources {
 	reserved := s.Resources
-	if s.Filler {
+	if s.BestEffort {
 		reserved.CPU = 0
 	}
 	return reserved
 }
 
-// Submission is a job as it was accepted.
+// Submission is an accepted job.
 type Submission struct {
 	ID    ID     `json:"id"`
 	Queue string `json:"queue"`
-	// Pool, MaxAttempts, Stretch and Target are the queue's at acceptance; they
-	// hold when the queue has left the configuration.
+	// Pool, MaxAttempts, Stretch and Target are copied from the queue at acceptance
+	// and apply once the queue has been removed from the configuration.
 	Pool        string        `json:"pool"`
 	MaxAttempts int           `json:"max-attempts"`
 	Priority    int           `json:"priority,omitempty"`
 	Stretch     float64       `json:"stretch,omitempty"`
 	Target      time.Duration `json:"target,omitempty"`
-	// Account is the client account whose key came with it; empty on open queues.
+	// Account is the client account whose key was presented; empty on open queues.
 	Account string `json:"account,omitempty"`
 	Spec    string `json:"spec,omitempty"`
 	Steps   []Step `json:"steps"`
-	// Times is the number of occurrences; 0 is a job that runs once, at once.
+	// Times is the number of occurrences; 0 means one occurrence that is due immediately.
 	Times    int           `json:"times,omitempty"`
 	Start    time.Time     `json:"start,omitzero"`
 	Interval time.Duration `json:"interval,omitempty"`
 	Accepted time.Time     `json:"accepted"`
 }
 
-// Occurrences is how often the steps run.
+// Occurrences returns how many times the steps run.
 func (s *Submission) Occurrences() int {
 	return max(1, s.Times)
 }
 
-// Due returns when an occurrence may start; the zero time is at once.
+// Due returns when an occurrence may start; the zero time means immediately.
 func (s *Submission) Due(occurrence int) time.Time {
 	if s.Times == 0 {
 		return time.Time{}
@@ -138,17 +138,17 @@
 	return s.Start.Add(time.Duration(occurrence) * s.Interval)
 }
 
-// Lasting reports whether the job has tasks that run until it is cancelled.
-func (s *Submission) Lasting() bool {
+// Persistent reports whether the job has persistent tasks.
+func (s *Submission) Persistent() bool {
 	for _, step := range s.Steps {
-		if step.Lasting {
+		if step.Persistent {
 			return true
 		}
 	}
 	return false
 }
 
-// Validate returns the reason why a submission is malformed, or "".
+// Validate returns the reason why the submission is malformed, or "".
 func (s *Submission) Validate() string {
 	if !s.ID.Valid() {
 		return "the job's ID is not 16 hexadecimal digits"
@@ -175,17 +175,17 @@
 	return ""
 }
 
-// validate returns the reason why step number is malformed, or "".
+// validate returns the reason why the step with the given number is malformed, or "".
 func (s Step) validate(number int) string {
 	if s.Count <= 0 || s.Count > MaxTasks {
 		return fmt.Sprintf("step %d has a count of %d", number, s.Count)
 	}
-	if s.Resources.CPU < 0 || s.Resources.Memory < 0 || s.Resources.GPU < 0 || s.MaxPerEndpoint < 0 || s.MayMiss < 0 {
+	if s.Resources.CPU < 0 || s.Resources.Memory < 0 || s.Resources.GPU < 0 || s.MaxPerEndpoint < 0 || s.MaxUnavailable < 0 {
 		return fmt.Sprintf("step %d has a negative amount", number)
 	}
-	for _, before := range s.After {
-		if before < 0 || before >= number {
-			return fmt.Sprintf("step %d comes after step %d, which is not an earlier step", number, before)
+	for _, predecessor := range s.After {
+		if predecessor < 0 || predecessor >= number {
+			return fmt.Sprintf("step %d comes after step %d, which is not an earlier step", number, predecessor)
 		}
 	}
 	return ""
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -10,17 +10,17 @@
 	"github.com/lovagedyke/lovagedyke/internal/job"
 )
 
-const someID = "5c0e7a21d94b36f8"
+const testID = "5c0e7a21d94b36f8"
 
 func TestIDs(t *testing.T) {
 	cases := map[string]struct {
 		id   string
 		want bool
 	}{
-		"lower case": {someID, true},
-		"upper case": {strings.ToUpper(someID), true},
-		"too short":  {someID[1:], false},
-		"too long":   {someID + "0", false},
+		"lower case": {testID, true},
+		"upper case": {strings.ToUpper(testID), true},
+		"too short":  {testID[1:], false},
+		"too long":   {testID + "0", false},
 		"not hex":    {"5c0e7a21d94b36fg", false},
 		"empty":      {"", false},
 	}
@@ -35,7 +35,7 @@
 
 func TestValidate(t *testing.T) {
 	valid := func() *job.Submission {
-		return &job.Submission{ID: someID, Steps: []job.Step{{Count: 1}, {Count: 2, After: []int{0}}}}
+		return &job.Submission{ID: testID, Steps: []job.Step{{Count: 1}, {Count: 2, After: []int{0}}}}
 	}
 	cases := map[string]struct {
 		change func(s *job.Submission)
@@ -67,11 +67,11 @@
 	}
 }
 
-// Whatever ends in whatever order, a job is complete exactly when all tasks of
-// all occurrences are done, and its row says the same after a round trip.
+// A job is complete exactly when all tasks of all occurrences have completed,
+// in whatever order, and its row is still complete after a round trip.
 func TestProgressProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		submission := &job.Submission{ID: someID, Times: rapid.IntRange(0, 3).Draw(t, "times")}
+		submission := &job.Submission{ID: testID, Times: rapid.IntRange(0, 3).Draw(t, "times")}
 		for range rapid.IntRange(1, 4).Draw(t, "steps") {
 			submission.Steps = append(submission.Steps, job.Step{Count: rapid.IntRange(1, 20).Draw(t, "count")})
 		}
@@ -82,10 +82,10 @@
 				t.Fatalf("complete after %d of %d tasks", i, len(ended))
 			}
 			if !progress.MarkDone(task) {
-				t.Fatalf("end of %v: got old, want news", task)
+				t.Fatalf("first completion of %v: got recorded before, want new", task)
 			}
 			if progress.MarkDone(task) {
-				t.Fatalf("same end of %v again: got news, want old", task)
+				t.Fatalf("repeated completion of %v: got new, want recorded before", task)
 			}
 		}
 		encoded, err := json.Marshal(progress)
@@ -108,7 +108,7 @@
 	for occurrence := range submission.Occurrences() {
 		for step := range submission.Steps {
 			for index := range submission.Steps[step].Count {
-				all = append(all, job.Task{Job: someID, Occurrence: occurrence, Step: step, Index: index})
+				all = append(all, job.Task{Job: testID, Occurrence: occurrence, Step: step, Index: index})
 			}
 		}
 	}
@@ -117,15 +117,15 @@
 
 func TestFailedRunsAreCountedOnce(t *testing.T) {
 	progress := job.NewProgress()
-	task := job.Task{Job: someID}
+	task := job.Task{Job: testID}
 	if got, news := progress.MarkFailed(task, 1); got != 1 || !news {
-		t.Errorf("first: got %d (%t), want 1 and news", got, news)
+		t.Errorf("first: got %d (%t), want 1 and new", got, news)
 	}
 	if got, news := progress.MarkFailed(task, 1); got != 1 || news {
-		t.Errorf("again: got %d (%t), want 1 and no news", got, news)
+		t.Errorf("again: got %d (%t), want 1 and not new", got, news)
 	}
 	if got, news := progress.MarkFailed(task, 2); got != 2 || !news {
-		t.Errorf("second: got %d (%t), want 2 and news", got, news)
+		t.Errorf("second: got %d (%t), want 2 and new", got, news)
 	}
 }
 
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// State is what a caller is told of a job.
+// State is the state of a job as reported to callers.
 type State string
 
 // States of a job. Complete, Failed and Cancelled are final.
@@ -16,41 +16,41 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the job will not change any more.
+// Final reports whether the state can no longer change.
 func (s State) Final() bool {
 	return s == Complete || s == Failed || s == Cancelled
 }
 
-// StepProgress is what has ended of one step of one occurrence.
+// StepProgress records the completed tasks and failed runs of one step of one occurrence.
 type StepProgress struct {
-	// Done has one bit for each task, lowest first.
+	// Done is a bitmap with one bit for each task, least significant bit first.
 	Done []byte `json:"done,omitempty"`
-	// DoneCount is the number of bits that are set.
+	// DoneCount is the number of bits set in Done.
 	DoneCount int `json:"done-count,omitempty"`
-	// FailedRuns lists the runs that ended as failed, by task index. Runs are
-	// listed and not counted since an endpoint reports an end until it is acknowledged.
+	// FailedRuns lists the failed runs by task index. A counter would count a run
+	// twice, since an endpoint repeats the report of its end until it is acknowledged.
 	FailedRuns map[int][]int64 `json:"failed-runs,omitempty"`
 }
 
-// isDone reports whether the task with this index has ended as done.
+// isDone reports whether the task with the given index has completed.
 func (s *StepProgress) isDone(index int) bool {
 	return s != nil && index/8 < len(s.Done) && s.Done[index/8]&(1<<(index%8)) != 0
 }
 
-// Progress is which of a job's tasks have ended. Its row is written before a
-// endpoint's report of the end is acknowledged.
+// Progress records which tasks of a job have completed. Its row is written before
+// the completion is acknowledged to the endpoint that reported it.
 type Progress struct {
 	State State `json:"state"`
-	// Steps is indexed by occurrence and step, with "occurrence.step" as names in its row.
+	// Steps holds the steps that have progress; rows encode it as a list.
 	Steps map[StepKey]*StepProgress `json:"-"`
 }
 
-// NewProgress returns the progress of a job of which nothing has ended.
+// NewProgress returns the progress of a queued job without completions.
 func NewProgress() *Progress {
 	return &Progress{State: Queued, Steps: map[StepKey]*StepProgress{}}
 }
 
-// step returns the step's progress, which it creates.
+// step returns the step's progress and creates it if there is none.
 func (p *Progress) step(key StepKey) *StepProgress {
 	if p.Steps[key] == nil {
 		p.Steps[key] = &StepProgress{}
@@ -58,12 +58,12 @@
 	return p.Steps[key]
 }
 
-// IsDone reports whether a task has ended as done.
+// IsDone reports whether a task has completed.
 func (p *Progress) IsDone(task Task) bool {
 	return p.Steps[StepKey{task.Occurrence, task.Step}].isDone(task.Index)
 }
 
-// MarkDone records an end. It reports whether that was news.
+// MarkDone records the completion of a task. It returns false if it was already recorded.
 func (p *Progress) MarkDone(task Task) bool {
 	step := p.step(StepKey{task.Occurrence, task.Step})
 	if step.isDone(task.Index) {
@@ -77,9 +77,9 @@
 	return true
 }
 
-// MarkFailed records a failed run of a task and returns how many runs of it
-// have failed. It reports whether that was news.
-func (p *Progress) MarkFailed(task Task, run int64) (failures int, news bool) {
+// MarkFailed records a failed run of a task and returns how many runs of the
+// task have failed. added is false if the run was already recorded.
+func (p *Progress) MarkFailed(task Task, run int64) (failures int, added bool) {
 	step := p.step(StepKey{task.Occurrence, task.Step})
 	runs := step.FailedRuns[task.Index]
 	if slices.Contains(runs, run) {
@@ -92,8 +92,8 @@
 	return len(runs) + 1, true
 }
 
-// Failures returns how many runs of the task have failed.
-func (p *Progress) Failures(task Task) int {
+// FailureCount returns how many runs of a task have failed.
+func (p *Progress) FailureCount(task Task) int {
 	step := p.Steps[StepKey{task.Occurrence, task.Step}]
 	if step == nil {
 		return 0
@@ -101,23 +101,23 @@
 	return len(step.FailedRuns[task.Index])
 }
 
-// StepDone reports whether all tasks of a step have ended as done.
+// StepDone reports whether all tasks of a step have completed.
 func (p *Progress) StepDone(s *Submission, key StepKey) bool {
 	step := p.Steps[key]
 	return step != nil && step.DoneCount >= s.Steps[key.Step].Count
 }
 
-// StepReady reports whether all steps that come before key are done.
+// StepReady reports whether all predecessors of a step have completed.
 func (p *Progress) StepReady(s *Submission, key StepKey) bool {
-	for _, before := range s.Steps[key.Step].After {
-		if !p.StepDone(s, StepKey{key.Occurrence, before}) {
+	for _, predecessor := range s.Steps[key.Step].After {
+		if !p.StepDone(s, StepKey{key.Occurrence, predecessor}) {
 			return false
 		}
 	}
 	return true
 }
 
-// OccurrenceDone reports whether all tasks of an occurrence have ended as done.
+// OccurrenceDone reports whether all tasks of an occurrence have completed.
 func (p *Progress) OccurrenceDone(s *Submission, occurrence int) bool {
 	for step := range s.Steps {
 		if !p.StepDone(s, StepKey{occurrence, step}) {
@@ -127,7 +127,7 @@
 	return true
 }
 
-// AllDone reports whether all tasks of all occurrences have ended as done.
+// AllDone reports whether all tasks of all occurrences have completed.
 func (p *Progress) AllDone(s *Submission) bool {
 	for occurrence := range s.Occurrences() {
 		if !p.OccurrenceDone(s, occurrence) {
--- a/internal/job/row.go
+++ b/internal/job/row.go
@@ -6,13 +6,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// progressRow is the format of a progress row.
+// progressRow is the JSON form of Progress.
 type progressRow struct {
 	State State     `json:"state"`
 	Steps []stepRow `json:"steps,omitempty"`
 }
 
-// stepRow is one step in a progress row.
+// stepRow is the JSON form of one step's progress.
 type stepRow struct {
 	Occurrence int `json:"occurrence"`
 	Step       int `json:"step"`
@@ -38,14 +38,14 @@
 	p.Steps = map[StepKey]*StepProgress{}
 	for _, step := range row.Steps {
 		if step.Occurrence < 0 || step.Step < 0 {
-			return errors.Newf("progress names step %d of occurrence %d", step.Step, step.Occurrence)
+			return errors.Newf("cannot decode progress: invalid step %d of occurrence %d", step.Step, step.Occurrence)
 		}
 		p.Steps[StepKey{step.Occurrence, step.Step}] = &step.StepProgress
 	}
 	return nil
 }
 
-// DecodeSubmission reads a job's row.
+// DecodeSubmission decodes and validates a job's row.
 func DecodeSubmission(data []byte) (*Submission, error) {
 	var submission Submission
 	if err := json.Unmarshal(data, &submission); err != nil {
--- a/internal/member/fleetclient.go
+++ b/internal/member/fleetclient.go
@@ -128,7 +128,7 @@
 	if own := f.node.config.Largest(); own.CPU > 0 {
 		largest = own
 	}
-	if largest.CPU > 0 && !step.Reserved().Fits(largest) {
+	if largest.CPU > 0 && !step.Reserved().FitsIn(largest) {
 		return "a task is larger than any endpoint"
 	}
 	return ""
--- a/internal/policy/holder.go
+++ b/internal/policy/holder.go
@@ -5,30 +5,31 @@
 	"sync/atomic"
 )
 
-// Journal takes what the holder comes to believe.
+// Journal records the configurations that the holder accepts or rejects.
 type Journal interface {
 	Note(event string, fields ...any)
 }
 
 // HolderConfig configures a holder.
 type HolderConfig struct {
-	// Decode reads a configuration as the operators wrote it.
-	Decode func(value []byte) (*Policy, error)
-	// Changed is called with each newer version, one at a time; fresh is true if
-	// it came from the store and not from another process.
-	Changed func(current *Policy, fresh bool)
-	Journal Journal
+	// Decode parses a configuration in the operators' format.
+	Decode func(encoded []byte) (*Policy, error)
+	// OnChange is called with each newer version, one call at a time; fromStore is
+	// true if it was read from the store, false if a peer sent it.
+	OnChange func(current *Policy, fromStore bool)
+	Journal  Journal
 }
 
-// SourceStore is the source of configurations that were read from the store.
+// SourceStore is the source to pass to Update for configurations read from the store.
 const SourceStore = "store"
 
-// Holder keeps the newest configuration. It never goes back to an older one.
+// Holder keeps the newest configuration and ignores older versions. It is safe
+// for concurrent use.
 type Holder struct {
 	config  HolderConfig
 	current atomic.Pointer[Policy]
 	mu      sync.Mutex
-	value   []byte
+	encoded []byte
 }
 
 // NewHolder returns a holder without a configuration.
@@ -49,35 +50,36 @@
 	return 0
 }
 
-// Offer puts a configuration in force if it is newer.
-func (h *Holder) Offer(value []byte, source string) {
-	if len(value) == 0 {
+// Update decodes a configuration and puts it in force if it is newer.
+func (h *Holder) Update(encoded []byte, source string) {
+	if len(encoded) == 0 {
 		return
 	}
-	offered, err := h.config.Decode(value)
+	decoded, err := h.config.Decode(encoded)
 	if err != nil {
-		h.config.Journal.Note("configuration not readable", "source", source, "error", err.Error())
+		h.config.Journal.Note("cannot decode configuration", "source", source, "error", err.Error())
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if current := h.Current(); current != nil && offered.Version <= current.Version {
+	if current := h.Current(); current != nil && decoded.Version <= current.Version {
 		return
 	}
-	h.value = value
-	h.current.Store(offered)
-	h.config.Journal.Note("configuration in force", "version", offered.Version, "source", source,
-		"queues", len(offered.Queues), "accounts", len(offered.Accounts))
-	h.config.Changed(offered, source == SourceStore)
+	h.encoded = encoded
+	h.current.Store(decoded)
+	h.config.Journal.Note("configuration in force", "version", decoded.Version, "source", source,
+		"queues", len(decoded.Queues), "accounts", len(decoded.Accounts))
+	h.config.OnChange(decoded, source == SourceStore)
 }
 
-// Newer returns the configuration if it is newer than have.
-func (h *Holder) Newer(have uint64) (version uint64, value []byte) {
+// NewerThan returns the version in force, and the encoded configuration if it is
+// newer than the known version.
+func (h *Holder) NewerThan(known uint64) (version uint64, encoded []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	version = h.Version()
-	if version <= have {
+	if version <= known {
 		return version, nil
 	}
-	return version, h.value
+	return version, h.encoded
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,13 +1,12 @@
-// Package policy holds what the operators have configured: queues, the pools
-// of endpoints that run their tasks, client accounts with keys and caps, and the
-// bounds of a request. A Policy is immutable once it is built; a newer version
-// replaces it whole.
+// Package policy holds the operators' configuration: queues, the pools of
+// endpoints that run their tasks, client accounts with keys and caps, and request
+// limits. A Policy is immutable; a newer version replaces it as a whole.
 //
 // # Usage
 //
 //	current := policy.New(policy.Config{Version: 7, Queues: queues, Pools: pools, Accounts: accounts})
 //	queue, ok := current.Match("orders.example", "/restock/5c0e7a21d94b36f8")
-//	account, ok := current.Account(key)
+//	account, ok := current.AccountByKey(key)
 package policy
 
 import (
@@ -16,94 +15,96 @@
 	"time"
 )
 
-// Resources is an amount of processor, memory and accelerators.
+// Resources is an amount of CPU, memory and accelerators.
 type Resources struct {
 	// CPU is in thousandths of a core.
 	CPU int64 `json:"cpu"`
 	// Memory is in MiB.
 	Memory int64 `json:"memory"`
-	// GPU counts accelerators.
+	// GPU is the number of accelerators.
 	GPU int64 `json:"gpu,omitempty"`
 }
 
-// Plus returns the sum.
+// Plus returns the sum of r and other.
 func (r Resources) Plus(other Resources) Resources {
 	return Resources{CPU: r.CPU + other.CPU, Memory: r.Memory + other.Memory, GPU: r.GPU + other.GPU}
 }
 
-// Minus returns the difference, which may be negative.
+// Minus returns r minus other, which may be negative.
 func (r Resources) Minus(other Resources) Resources {
 	return Resources{CPU: r.CPU - other.CPU, Memory: r.Memory - other.Memory, GPU: r.GPU - other.GPU}
 }
 
-// Times returns n times each resource.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int64) Resources {
 	return Resources{CPU: r.CPU * n, Memory: r.Memory * n, GPU: r.GPU * n}
 }
 
-// Fits reports whether r is within room in each resource.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPU <= room.CPU && r.Memory <= room.Memory && r.GPU <= room.GPU
+// FitsIn reports whether r does not exceed available in any resource.
+func (r Resources) FitsIn(available Resources) bool {
+	return r.CPU <= available.CPU && r.Memory <= available.Memory && r.GPU <= available.GPU
 }
 
-// Advice configures a queue whose steps may run only on some endpoints, which the
-// advice service names.
+// Advice configures a queue whose steps may run only on the endpoints that the
+// advice service grants tickets for.
 type Advice struct {
-	// Decide is how long a call takes, and Each what it takes for each host named.
-	Decide, Each time.Duration
-	// Valid is how long a ticket can be used.
-	Valid time.Duration
+	// BaseLatency is the duration of a call, to which PerHostLatency is added for
+	// each host in the request.
+	BaseLatency, PerHostLatency time.Duration
+	// TicketLifetime is how long a ticket is valid.
+	TicketLifetime time.Duration
 }
 
-// Queue takes jobs under a host name and path prefix.
+// Queue accepts jobs under a host name and path prefix.
 type Queue struct {
 	Name       string
 	HostName   string
 	PathPrefix string
-	// Pool runs the queue's tasks.
+	// Pool is the name of the pool that runs the queue's tasks.
 	Pool string
-	// Open queues take jobs without a key.
+	// Open queues accept jobs without a key.
 	Open bool
-	// Priority orders the queues of a pool; 0 comes first.
+	// Priority orders the queues of a pool; 0 is the highest.
 	Priority int
-	// MaxAttempts is how often a task may fail before its job does.
+	// MaxAttempts is the number of failed runs of a task after which its job fails.
 	MaxAttempts int
-	// Stretch times a job's longest chain of work, plus Target, is its objective.
+	// Stretch and Target define a job's completion objective: Stretch times its
+	// critical path, plus Target.
 	Stretch float64
 	Target  time.Duration
-	// Timeout bounds a request.
+	// Timeout bounds the duration of a request.
 	Timeout time.Duration
-	// Advice is nil for a queue whose tasks may run on each endpoint of the pool.
+	// Advice is nil if the tasks may run on any endpoint of the pool.
 	Advice *Advice
 }
 
-// Pool is a service's set of endpoints.
+// Pool is the set of endpoints of one service.
 type Pool struct {
 	Name string
-	// Guarded pools have endpoints that reject what does not fit.
+	// Guarded pools have endpoints that reject runs which exceed their free capacity.
 	Guarded bool
-	// Spare pools hold hosts that are switched off.
+	// Spare is set for the pool of hosts that are switched off.
 	Spare bool
 }
 
-// Account is a client account.
+// Account is a client account with its keys and resource cap.
 type Account struct {
 	Name   string
 	Keys   []string
 	Weight float64
-	// Cap bounds what runs at one time over all pools; a zero field is no limit.
+	// Cap bounds the resources in use across all pools; a zero field means no limit.
 	Cap Resources
 }
 
-// Limits bounds a request.
+// Limits holds the size and time limits of requests.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderRead  time.Duration
-	Idle        time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
-// Config is what a Policy is built from.
+// Config holds the arguments of New.
 type Config struct {
 	Version  uint64
 	Queues   []Queue
@@ -119,23 +120,23 @@
 	Pools    map[string]Pool
 	Accounts map[string]Account
 	Limits   Limits
-	// byHost lists a host name's queues, longest prefix first.
-	byHost map[string][]Queue
-	byKey  map[string]string
+	// queuesByHost lists the queues of each host name, longest path prefix first.
+	queuesByHost map[string][]Queue
+	accountByKey map[string]string
 }
 
-// New indexes a configuration.
+// New builds a Policy from a configuration.
 func New(config Config) *Policy {
 	p := &Policy{
 		Version: config.Version, Limits: config.Limits,
 		Queues: map[string]Queue{}, Pools: map[string]Pool{}, Accounts: map[string]Account{},
-		byHost: map[string][]Queue{}, byKey: map[string]string{},
+		queuesByHost: map[string][]Queue{}, accountByKey: map[string]string{},
 	}
 	for _, queue := range config.Queues {
 		p.Queues[queue.Name] = queue
-		p.byHost[queue.HostName] = append(p.byHost[queue.HostName], queue)
+		p.queuesByHost[queue.HostName] = append(p.queuesByHost[queue.HostName], queue)
 	}
-	for _, queues := range p.byHost {
+	for _, queues := range p.queuesByHost {
 		sort.Slice(queues, func(i, j int) bool { return len(queues[i].PathPrefix) > len(queues[j].PathPrefix) })
 	}
 	for _, pool := range config.Pools {
@@ -144,15 +145,15 @@
 	for _, account := range config.Accounts {
 		p.Accounts[account.Name] = account
 		for _, key := range account.Keys {
-			p.byKey[key] = account.Name
+			p.accountByKey[key] = account.Name
 		}
 	}
 	return p
 }
 
-// Match returns the queue with the longest prefix of path under hostName.
+// Match returns the queue of hostName with the longest path prefix that matches path.
 func (p *Policy) Match(hostName, path string) (Queue, bool) {
-	for _, queue := range p.byHost[hostName] {
+	for _, queue := range p.queuesByHost[hostName] {
 		if strings.HasPrefix(path, queue.PathPrefix) {
 			return queue, true
 		}
@@ -160,13 +161,13 @@
 	return Queue{}, false
 }
 
-// AccountOf returns the name of the client account that holds key.
-func (p *Policy) AccountOf(key string) (string, bool) {
-	name, ok := p.byKey[key]
+// AccountByKey returns the name of the client account that owns key.
+func (p *Policy) AccountByKey(key string) (string, bool) {
+	name, ok := p.accountByKey[key]
 	return name, ok && key != ""
 }
 
-// SparePool returns the pool of hosts that are switched off.
+// SparePool returns the name of the pool of hosts that are switched off.
 func (p *Policy) SparePool() (string, bool) {
 	for name, pool := range p.Pools {
 		if pool.Spare {
--- a/internal/process/feeds.go
+++ b/internal/process/feeds.go
@@ -156,7 +156,7 @@
 
 // takeNews puts operators' rows in force.
 func (n *frontNode) takeNews(news platform.OperatorNews) {
-	n.holder.Offer(news.Policy, policy.SourceStore)
+	n.holder.Update(news.Policy, policy.SourceStore)
 	for _, wave := range news.Waves {
 		n.control.SetWave(wave)
 	}
@@ -206,7 +206,7 @@
 		n.journal.Note("configuration not read from a peer", "peer", peer.Name, "have", have, "error", err.Error())
 		return false
 	}
-	n.holder.Offer(reply.Value, "peer")
+	n.holder.Update(reply.Value, "peer")
 	return n.holder.Version() > have
 }
 
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record names the rows that the system keeps in the platform's store,
-// and their formats: JSON with names in kebab case.
+// Package record defines the keys of the rows that the system keeps in the
+// platform's store, and the rows' formats: JSON with names in kebab case.
 //
 // # Usage
 //
@@ -7,10 +7,10 @@
 //	submission, err := job.DecodeSubmission(rows[0].Value)
 //	claim, err := record.Decode[record.Claim](row.Value)
 //
-// Keys have the form table/part/key. All rows of the fleet's leader lie in one
-// part with its claim, so that each of its transactions can carry the claim's
-// version as a condition: a leader that has a successor cannot write. Jobs and
-// cancels are spread over several parts, since a part takes one transaction
+// Keys have the form table/partition/key. All rows of the fleet's leader are in
+// one partition with its claim, so that each of its transactions can be conditional
+// on the claim's version: a superseded leader cannot write. Jobs and cancels are
+// sharded over several partitions, since a partition runs its transactions one
 // after the other.
 package record
 
@@ -27,96 +27,97 @@
 	"github.com/lovagedyke/lovagedyke/internal/job"
 )
 
-// JobShards is the number of parts that jobs and cancels are spread over.
+// JobShards is the number of partitions for jobs, and for cancels.
 const JobShards = 4
 
-// Tables of the system.
+// Names of the tables.
 const (
 	JobTable    = "jobs"
 	CancelTable = "cancels"
-	// ControlTable holds the claim and its renewal.
+	// ControlTable holds the leadership claim, its renewal and the transaction sequence.
 	ControlTable = "control"
 )
 
-// Keys and prefixes of the leader's part, and of the members.
+// Keys and key prefixes of the leader's partition and of the members.
 const (
-	ClaimKey       = "control/leader/claim"
-	RenewalKey     = "control/leader/renewal"
-	SequenceKey    = "control/leader/sequence"
-	ProgressPrefix = "progress/leader/"
-	WavePrefix     = "waves/leader/"
-	ChangePrefix   = "changes/leader/"
-	MemberPrefix   = "members//"
+	ClaimKey         = "control/leader/claim"
+	RenewalKey       = "control/leader/renewal"
+	SequenceKey      = "control/leader/sequence"
+	ProgressPrefix   = "progress/leader/"
+	WavePrefix       = "waves/leader/"
+	HostChangePrefix = "changes/leader/"
+	MemberPrefix     = "members//"
 )
 
-// Shard returns the part that holds a job's rows: jobs are spread over parts.
-func Shard(id job.ID) int {
+// ShardOf returns the number of the partition that holds a job's rows.
+func ShardOf(id job.ID) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
 	return int(hash.Sum32() % JobShards)
 }
 
-// JobPrefix starts the keys of one part of the jobs.
+// JobPrefix returns the key prefix of the jobs in one shard.
 func JobPrefix(shard int) string {
 	return JobTable + "/p" + strconv.Itoa(shard) + "/"
 }
 
-// CancelPrefix starts the keys of one part of the cancels.
+// CancelPrefix returns the key prefix of the cancels in one shard.
 func CancelPrefix(shard int) string {
 	return CancelTable + "/p" + strconv.Itoa(shard) + "/"
 }
 
-// JobKey is the row of a job as it was accepted.
+// JobKey returns the key of an accepted job's submission.
 func JobKey(id job.ID) string {
-	return JobPrefix(Shard(id)) + string(id)
+	return JobPrefix(ShardOf(id)) + string(id)
 }
 
-// CancelKey is the row that says that a caller cancelled a job.
+// CancelKey returns the key of the row that marks a job as cancelled by its caller.
 func CancelKey(id job.ID) string {
-	return CancelPrefix(Shard(id)) + string(id)
+	return CancelPrefix(ShardOf(id)) + string(id)
 }
 
-// ProgressKey is the row of what has ended of a job.
+// ProgressKey returns the key of a job's progress.
 func ProgressKey(id job.ID) string {
 	return ProgressPrefix + string(id)
 }
 
-// WaveKey is the row of what has been done of a wave.
+// WaveKey returns the key of a maintenance wave's progress.
 func WaveKey(wave int64) string {
 	return WavePrefix + strconv.FormatInt(wave, 10)
 }
 
-// ChangeKey is the row that says when a host was last about to be changed.
-func ChangeKey(host string) string {
-	return ChangePrefix + host
+// HostChangeKey returns the key of a host's latest announced change.
+func HostChangeKey(host string) string {
+	return HostChangePrefix + host
 }
 
-// Change is when, by the time of day of the leader, a host was about to be changed.
-type Change struct {
+// HostChange announces a move or maintenance of a host, by the leader's wall clock.
+type HostChange struct {
 	At time.Time `json:"at"`
 }
 
-// MemberKey is the row of a process of the system.
+// MemberKey returns the key of a member process.
 func MemberKey(name string) string {
 	return MemberPrefix + name
 }
 
-// IDOf returns the last part of a key.
-func IDOf(key string) string {
+// LastSegment returns the last segment of a key, which holds the ID or name.
+func LastSegment(key string) string {
 	return key[strings.LastIndexByte(key, '/')+1:]
 }
 
-// Claim says which process leads the fleet. Token grows with each leader.
+// Claim names the process that leads the fleet. Token increases with each leader.
 type Claim struct {
 	Token   uint64         `json:"token"`
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
-	// Released claims may be taken at once.
+	// Released is set if another process may claim leadership immediately.
 	Released bool `json:"released,omitempty"`
 }
 
-// Sequence numbers a leader's transactions. Each one rests on the row's version,
-// so that one whose answer was lost cannot be carried out after a later one.
+// Sequence numbers a leader's transactions. Each transaction is conditional on the
+// version of this row, so that one whose answer was lost cannot be applied after a
+// later one.
 type Sequence struct {
 	Token  uint64 `json:"token"`
 	Number uint64 `json:"number"`
@@ -126,28 +127,28 @@
 type Member struct {
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
-	// Processor is the part of a core that the process has.
+	// Processor is the CPU share of the process, as a fraction of a core.
 	Processor float64 `json:"processor,omitempty"`
 }
 
-// Wave is what has been done of a wave of upkeep.
+// Wave is the progress of a maintenance wave.
 type Wave struct {
 	Done     []string `json:"done"`
 	Complete bool     `json:"complete,omitempty"`
 }
 
-// Decode reads a row's value.
+// Decode decodes a row's value.
 func Decode[T any](value []byte) (T, error) {
 	var out T
 	err := json.Unmarshal(value, &out)
 	return out, errors.Wrap(err, "decode row")
 }
 
-// Encode returns a row's value.
+// Encode encodes a row as its value.
 func Encode(row any) []byte {
 	value, err := json.Marshal(row)
 	if err != nil {
-		// The rows' types are this package's: plain fields alone.
+		// Cannot happen: rows are of this package's types, which have plain fields only.
 		panic(err)
 	}
 	return value
