--- a/internal/fleet/wave.go
+++ b/internal/fleet/wave.go
@@ -17,8 +17,8 @@
 	dirty    bool
 }
 
-// WaveNews is what has changed of a wave since it was last written.
-type WaveNews struct {
+// WaveProgress is what has changed of a wave since it was last written.
+type WaveProgress struct {
 	Number   int64
 	Done     []string
 	Complete bool
@@ -34,19 +34,19 @@
 	return wave
 }
 
-// WaveListed takes a wave as operators ask for it.
-func (l *Leader) WaveListed(row WaveRow, now time.Time) {
+// UpdateWave takes a wave as operators ask for it.
+func (l *Leader) UpdateWave(row WaveRow, now time.Time) {
 	wave := l.wave(row.Number)
 	if wave.listedAt.IsZero() {
 		wave.listedAt = now
 		wave.dirty = true
-		l.note("wave listed", "wave", row.Number, "hosts", len(row.Hosts), "at-once", row.AtOnce, "within", row.Within.String())
+		l.log("wave listed", "wave", row.Number, "hosts", len(row.Hosts), "at-once", row.MaxDown, "within", row.TimeLimit.String())
 	}
 	wave.row = row
 }
 
-// WaveLoaded takes what an earlier leader has written of a wave.
-func (l *Leader) WaveLoaded(number int64, done []string, complete bool) {
+// LoadWave takes what an earlier leader has written of a wave.
+func (l *Leader) LoadWave(number int64, done []string, complete bool) {
 	wave := l.wave(number)
 	wave.complete = complete
 	for _, id := range done {
@@ -54,23 +54,23 @@
 	}
 }
 
-// WaveNews returns the waves that have to be written.
-func (l *Leader) WaveNews() []WaveNews {
-	var news []WaveNews
+// WaveProgress returns the waves that have to be written.
+func (l *Leader) WaveProgress() []WaveProgress {
+	var updates []WaveProgress
 	for _, number := range l.waveNumbers() {
 		wave := l.hosts.waves[number]
 		if !wave.dirty {
 			continue
 		}
 		wave.dirty = false
-		entry := WaveNews{Number: number, Complete: wave.complete}
+		entry := WaveProgress{Number: number, Complete: wave.complete}
 		for id := range wave.done {
 			entry.Done = append(entry.Done, string(id))
 		}
 		slices.Sort(entry.Done)
-		news = append(news, entry)
+		updates = append(updates, entry)
 	}
-	return news
+	return updates
 }
 
 // planWave takes the wave's next hosts down, those that cost least first,
@@ -88,23 +88,23 @@
 			continue
 		}
 		known++
-		isDown := h.change != nil && h.change.wave == wave.row.Number || h.row.State == HostUpkeep
+		isDown := h.pendingChange != nil && h.pendingChange.wave == wave.row.Number || h.row.State == HostMaintenance
 		if isDown {
 			down++
 		}
-		if !wave.done[id] && h.isFree(now) {
+		if !wave.done[id] && h.canChange(now) {
 			due = append(due, h)
 		}
 	}
-	if known > 0 && down == 0 && l.waveDone(wave) {
+	if known > 0 && down == 0 && l.allHostsBegun(wave) {
 		wave.complete, wave.dirty = true, true
-		l.note("wave complete", "wave", wave.row.Number, "took", now.Sub(wave.listedAt).Round(time.Millisecond).String())
+		l.log("wave complete", "wave", wave.row.Number, "took", now.Sub(wave.listedAt).Round(time.Millisecond).String())
 		return 0
 	}
-	atOnce := min(wave.row.AtOnce, max(down+free, l.wavePace(wave, len(due), now)))
-	begun := 0
+	atOnce := min(wave.row.MaxDown, max(down+free, l.minWaveConcurrency(wave, len(due), now)))
+	started := 0
 	slices.SortFunc(due, func(a, b *hostState) int {
-		return cmp.Or(cmp.Compare(l.upkeepCost(a), l.upkeepCost(b)), cmp.Compare(a.row.ID, b.row.ID))
+		return cmp.Or(cmp.Compare(l.maintenanceCost(a), l.maintenanceCost(b)), cmp.Compare(a.row.ID, b.row.ID))
 	})
 	// As many as may be down at once are emptied ahead.
 	for i, h := range due {
@@ -117,36 +117,36 @@
 		}
 		if down < atOnce && l.isEmpty(h, now) {
 			down++
-			begun++
-			h.change = &change{wave: wave.row.Number, orderedAt: now}
-			orders.Upkeeps = append(orders.Upkeeps, Upkeep{Host: h.row.ID, Wave: wave.row.Number})
-			l.note("upkeep", "host", h.row.ID, "pool", h.row.Pool, "wave", wave.row.Number, "down", down, "at-once", atOnce)
+			started++
+			h.pendingChange = &pendingChange{wave: wave.row.Number, orderedAt: now}
+			orders.Maintenance = append(orders.Maintenance, MaintenanceOrder{Host: h.row.ID, Wave: wave.row.Number})
+			l.log("upkeep", "host", h.row.ID, "pool", h.row.Pool, "wave", wave.row.Number, "down", down, "at-once", atOnce)
 		}
 	}
-	return begun
+	return started
 }
 
 const (
-	// wavePart is the part of a wave's time in which it should be over where hosts
+	// waveTimeFraction is the part of a wave's time in which it should be over where hosts
 	// are short; the rest is for hosts that are slow to be emptied.
-	wavePart = 0.4
-	// emptyingTime is about how long a busy host takes until it is empty.
-	emptyingTime = 3 * time.Second
+	waveTimeFraction = 0.4
+	// drainTime is about how long a busy host takes until it is empty.
+	drainTime = 3 * time.Second
 )
 
-// wavePace returns how many hosts have to be down at once for the wave to be
+// minWaveConcurrency returns how many hosts have to be down at once for the wave to be
 // over in good time.
-func (l *Leader) wavePace(wave *waveState, due int, now time.Time) int {
-	left := time.Duration(wavePart*float64(wave.row.Within)) - now.Sub(wave.listedAt)
-	each := l.config.Bounds.Upkeep + emptyingTime
-	if left < each {
+func (l *Leader) minWaveConcurrency(wave *waveState, due int, now time.Time) int {
+	left := time.Duration(waveTimeFraction*float64(wave.row.TimeLimit)) - now.Sub(wave.listedAt)
+	perHost := l.config.Bounds.Maintenance + drainTime
+	if left < perHost {
 		return due
 	}
-	return int(math.Ceil(float64(due) * each.Seconds() / left.Seconds()))
+	return int(math.Ceil(float64(due) * perHost.Seconds() / left.Seconds()))
 }
 
-// waveDone reports whether the upkeep of all the wave's hosts has begun.
-func (l *Leader) waveDone(wave *waveState) bool {
+// allHostsBegun reports whether the upkeep of all the wave's hosts has begun.
+func (l *Leader) allHostsBegun(wave *waveState) bool {
 	for _, id := range wave.row.Hosts {
 		h := l.hosts.byID[id]
 		if h != nil && h.listed && !wave.done[id] {
@@ -159,14 +159,14 @@
 // Weights of a run in the cost of taking its host down: a lasting task has
 // to be started elsewhere, any other ends by itself.
 const (
-	costLasting = 1000
-	costRun     = 1
+	costPersistent = 1000
+	costRun        = 1
 	// costUnknown ranks a host whose endpoint is not known yet after all others.
 	costUnknown = 1_000_000
 )
 
-// upkeepCost ranks a host by what its upkeep disturbs.
-func (l *Leader) upkeepCost(h *hostState) int {
+// maintenanceCost ranks a host by what its upkeep disturbs.
+func (l *Leader) maintenanceCost(h *hostState) int {
 	e := l.endpointOf(h)
 	if e == nil || !e.reached {
 		if h.row.Endpoint == "" {
@@ -174,6 +174,6 @@
 		}
 		return costUnknown
 	}
-	lasting := e.lastingRuns()
-	return lasting*costLasting + (len(e.runs)-lasting)*costRun
+	lasting := e.persistentRuns()
+	return lasting*costPersistent + (len(e.runs)-lasting)*costRun
 }
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/writequeue.go
@@ -7,9 +7,9 @@
 	"github.com/lovagedyke/lovagedyke/internal/job"
 )
 
-// batchRows is how many rows one batch holds at most: the store's transaction
+// maxBatchRows is how many rows one batch holds at most: the store's transaction
 // has 100 entries, one of them the condition on the leader's claim.
-const batchRows = 90
+const maxBatchRows = 90
 
 // Batch is a set of rows to be written in one transaction.
 type Batch struct {
@@ -20,8 +20,8 @@
 	states map[job.ID]job.State
 }
 
-// ledger keeps what has to be written.
-type ledger struct {
+// writeQueue keeps what has to be written.
+type writeQueue struct {
 	// open is the number of the batch that collects news, written the newest that the store has.
 	open, written uint64
 	dirty         []*jobState
@@ -29,12 +29,12 @@
 	batchByJob map[job.ID]uint64
 }
 
-func newLedger() ledger {
-	return ledger{open: 1, batchByJob: map[job.ID]uint64{}}
+func newWriteQueue() writeQueue {
+	return writeQueue{open: 1, batchByJob: map[job.ID]uint64{}}
 }
 
-// batchOf returns the batch to wait for before news of the job is written, or 0.
-func (l *ledger) batchOf(j *jobState) uint64 {
+// pendingBatch returns the batch to wait for before news of the job is written, or 0.
+func (l *writeQueue) pendingBatch(j *jobState) uint64 {
 	batch := l.batchByJob[j.submission.ID]
 	if batch <= l.written {
 		return 0
@@ -45,31 +45,31 @@
 // markDirty adds a job to the open batch and returns that batch's number.
 func (l *Leader) markDirty(j *jobState) uint64 {
 	if j.dirty {
-		return l.ledger.batchByJob[j.submission.ID]
+		return l.writeQueue.batchByJob[j.submission.ID]
 	}
 	j.dirty = true
 	// A job beyond the open batch's rows goes into a later one.
-	batch := l.ledger.open + uint64(len(l.ledger.dirty)/batchRows)
-	l.ledger.dirty = append(l.ledger.dirty, j)
-	l.ledger.batchByJob[j.submission.ID] = batch
+	batch := l.writeQueue.open + uint64(len(l.writeQueue.dirty)/maxBatchRows)
+	l.writeQueue.dirty = append(l.writeQueue.dirty, j)
+	l.writeQueue.batchByJob[j.submission.ID] = batch
 	return batch
 }
 
 // NextBatch returns the news to write, or false if there is none. The caller
 // writes one batch at a time, and again until it is written.
 func (l *Leader) NextBatch() (Batch, bool) {
-	count := min(batchRows, len(l.ledger.dirty))
+	count := min(maxBatchRows, len(l.writeQueue.dirty))
 	if count == 0 {
 		return Batch{}, false
 	}
-	batch := Batch{Number: l.ledger.open, Rows: map[job.ID][]byte{}, states: map[job.ID]job.State{}}
-	for _, j := range l.ledger.dirty[:count] {
+	batch := Batch{Number: l.writeQueue.open, Rows: map[job.ID][]byte{}, states: map[job.ID]job.State{}}
+	for _, j := range l.writeQueue.dirty[:count] {
 		j.dirty = false
 		batch.Rows[j.submission.ID] = encodeProgress(j.progress)
 		batch.states[j.submission.ID] = j.progress.State
 	}
-	l.ledger.dirty = l.ledger.dirty[count:]
-	l.ledger.open++
+	l.writeQueue.dirty = l.writeQueue.dirty[count:]
+	l.writeQueue.open++
 	return batch, true
 }
 
@@ -83,48 +83,48 @@
 	return encoded
 }
 
-// BatchWritten notes that the store holds a batch.
-func (l *Leader) BatchWritten(batch Batch, now time.Time) {
-	l.ledger.written = max(l.ledger.written, batch.Number)
+// MarkBatchWritten notes that the store holds a batch.
+func (l *Leader) MarkBatchWritten(batch Batch, now time.Time) {
+	l.writeQueue.written = max(l.writeQueue.written, batch.Number)
 	for id, state := range batch.states {
 		j := l.jobs[id]
 		if j == nil {
 			continue
 		}
-		j.shown = state
-		if state.Final() && j.overAt.IsZero() {
-			j.overAt = now
+		j.persistedState = state
+		if state.Final() && j.endedAt.IsZero() {
+			j.endedAt = now
 		}
-		if l.ledger.batchByJob[id] <= l.ledger.written {
-			delete(l.ledger.batchByJob, id)
+		if l.writeQueue.batchByJob[id] <= l.writeQueue.written {
+			delete(l.writeQueue.batchByJob, id)
 		}
 	}
 	for _, e := range l.endpoints {
-		e.advanceAcks(l.ledger.written)
+		e.advanceAcks(l.writeQueue.written)
 	}
 }
 
-// Forgettable lists jobs that ended longer ago than their state has to be
+// ExpiredJobs lists jobs that ended longer ago than their state has to be
 // told, at most limit of them.
-func (l *Leader) Forgettable(now time.Time, limit int) []job.ID {
+func (l *Leader) ExpiredJobs(now time.Time, limit int) []job.ID {
 	var ids []job.ID
 	for id, j := range l.jobs {
 		if len(ids) == limit {
 			break
 		}
-		if !j.overAt.IsZero() && now.Sub(j.overAt) > forgetFactor*l.config.Bounds.StatusKept && len(j.active) == 0 {
+		if !j.endedAt.IsZero() && now.Sub(j.endedAt) > retentionFactor*l.config.Bounds.StatusRetention && len(j.active) == 0 {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// forgetFactor times the period for which states must be known is how long
+// retentionFactor times the period for which states must be known is how long
 // rows are kept: a repeated submission still finds its job.
-const forgetFactor = 2
+const retentionFactor = 2
 
-// Forget drops jobs whose rows are removed.
-func (l *Leader) Forget(ids []job.ID) {
+// ForgetJobs drops jobs whose rows are removed.
+func (l *Leader) ForgetJobs(ids []job.ID) {
 	for _, id := range ids {
 		delete(l.jobs, id)
 	}
