--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -52,24 +52,24 @@
 		work.cpu += float64(each.CPU) * taskSeconds
 		work.memory += float64(each.Memory) * taskSeconds
 	}
-	r := l.arrivalHistoryOf(l.poolOf(j))
-	r.arrivals = append(r.arrivals, work)
+	h := l.arrivalHistoryOf(l.poolOf(j))
+	h.arrivals = append(h.arrivals, work)
 }
 
 // inflow returns the resources that arriving work needs if it continues at the rate
 // of the last arrivalWindow, or of the last burstWindow if that is a steeper rise.
-func (r *arrivalHistory) inflow(now time.Time) policy.Resources {
+func (h *arrivalHistory) inflow(now time.Time) policy.Resources {
 	first := 0
-	for first < len(r.arrivals) && now.Sub(r.arrivals[first].at) > arrivalWindow {
+	for first < len(h.arrivals) && now.Sub(h.arrivals[first].at) > arrivalWindow {
 		first++
 	}
-	r.arrivals = r.arrivals[first:]
-	burstStart := len(r.arrivals)
-	for burstStart > 0 && now.Sub(r.arrivals[burstStart-1].at) <= burstWindow {
+	h.arrivals = h.arrivals[first:]
+	burstStart := len(h.arrivals)
+	for burstStart > 0 && now.Sub(h.arrivals[burstStart-1].at) <= burstWindow {
 		burstStart--
 	}
-	inflow := inflowOf(r.arrivals, arrivalWindow)
-	burst := r.arrivals[burstStart:]
+	inflow := inflowOf(h.arrivals, arrivalWindow)
+	burst := h.arrivals[burstStart:]
 	if len(burst) < minBurstJobs {
 		return inflow
 	}
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,4 +1,4 @@
-// Package fleet schedules tasks on endpoints and hosts on pools. It holds the state
+// Package fleet assigns tasks to endpoints and hosts to pools. It holds the state
 // of the process that leads the fleet, which each new leader rebuilds from the
 // store's rows and the endpoints' reports. It does no I/O and reads no clock: the
 // time is an argument, and orders are values that the caller executes.
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -172,8 +172,8 @@
 // to end, or an unresponsive endpoint may have crashed.
 func (l *Leader) NeedsHostList(now time.Time) bool {
 	for _, e := range l.endpoints {
-		isSilent := e.unresponsive && len(e.runs) > 0 || !e.reached && now.Before(l.inheritedLeasesEnd())
-		if isSilent && !e.gone && len(l.hosts.byID) > 0 {
+		isUnresponsive := e.unresponsive && len(e.runs) > 0 || !e.reached && now.Before(l.inheritedLeasesEnd())
+		if isUnresponsive && !e.gone && len(l.hosts.byID) > 0 {
 			return true
 		}
 	}
--- a/internal/fleet/hosts_test.go
+++ b/internal/fleet/hosts_test.go
@@ -127,7 +127,7 @@
 	for range 3 {
 		for _, move := range s.step().Moves {
 			if move.Host == extra.ID {
-				t.Fatalf("move of a host with an end that is not written: got %v, want none", move)
+				t.Fatalf("move of a host with an unpersisted completion: got %v, want none", move)
 			}
 		}
 		s.advance(time.Second)
--- a/internal/fleet/move.go
+++ b/internal/fleet/move.go
@@ -234,8 +234,8 @@
 }
 
 // tierOf returns the tier of work with the given lateness.
-func tierOf(h lateness) tier {
-	switch h {
+func tierOf(v lateness) tier {
+	switch v {
 	case onTime:
 		return tierOnTime
 	case late:
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -84,12 +84,12 @@
 	}
 	path := l.criticalPath(j)
 	objective := time.Duration(float64(path)*max(1, stretch)) + target
-	begin := j.submission.Accepted
+	dueAt := j.submission.Accepted
 	if due := j.submission.Due(step.key.Occurrence); !due.IsZero() {
-		begin = due
+		dueAt = due
 	}
 	remaining := l.remainingTime(j, step)
-	out.latestStart = begin.Add(objective - remaining)
+	out.latestStart = dueAt.Add(objective - remaining)
 	margin := time.Duration(0)
 	if !j.started {
 		// Started jobs continue; others must have slack.
@@ -98,7 +98,7 @@
 	switch {
 	case !now.Add(margin).After(out.latestStart):
 		out.lateness = onTime
-	case !now.After(begin.Add(lateFactor*objective - remaining)):
+	case !now.After(dueAt.Add(lateFactor*objective - remaining)):
 		out.lateness = late
 	default:
 		out.lateness = tooLate
--- a/internal/fleet/unplaceable.go
+++ b/internal/fleet/unplaceable.go
@@ -10,8 +10,8 @@
 }
 
 // contains reports whether a size is known to fit nowhere.
-func (f *unplaceableSizes) contains(size policy.Resources) bool {
-	for _, rejected := range f.rejected {
+func (u *unplaceableSizes) contains(size policy.Resources) bool {
+	for _, rejected := range u.rejected {
 		if rejected.FitsIn(size) {
 			return true
 		}
@@ -20,14 +20,14 @@
 }
 
 // add adds a size that fits on no endpoint of the pool, regardless of labels.
-func (f *unplaceableSizes) add(size policy.Resources) {
-	kept := f.rejected[:0]
-	for _, rejected := range f.rejected {
+func (u *unplaceableSizes) add(size policy.Resources) {
+	kept := u.rejected[:0]
+	for _, rejected := range u.rejected {
 		if !size.FitsIn(rejected) {
 			kept = append(kept, rejected)
 		}
 	}
-	f.rejected = append(kept, size)
+	u.rejected = append(kept, size)
 }
 
 // fitsNowhere reports whether no candidate has enough free capacity for a size.
--- a/internal/fleet/wave.go
+++ b/internal/fleet/wave.go
@@ -101,26 +101,26 @@
 		l.log("wave complete", "wave", wave.row.Number, "took", now.Sub(wave.listedAt).Round(time.Millisecond).String())
 		return 0
 	}
-	atOnce := min(wave.row.MaxDown, max(down+free, l.minWaveConcurrency(wave, len(due), now)))
+	maxDown := min(wave.row.MaxDown, max(down+free, l.minWaveConcurrency(wave, len(due), now)))
 	started := 0
 	slices.SortFunc(due, func(a, b *hostState) int {
 		return cmp.Or(cmp.Compare(l.maintenanceCost(a), l.maintenanceCost(b)), cmp.Compare(a.row.ID, b.row.ID))
 	})
 	// Drain as many hosts ahead as may be down at the same time.
 	for i, h := range due {
-		if i >= 2*atOnce-down {
+		if i >= 2*maxDown-down {
 			break
 		}
 		e := l.endpointOf(h)
 		if e != nil {
 			e.leaving = true
 		}
-		if down < atOnce && l.isEmpty(h, now) {
+		if down < maxDown && l.isEmpty(h, now) {
 			down++
 			started++
 			h.pendingChange = &pendingChange{wave: wave.row.Number, orderedAt: now}
 			orders.Maintenance = append(orders.Maintenance, MaintenanceOrder{Host: h.row.ID, Wave: wave.row.Number})
-			l.log("upkeep", "host", h.row.ID, "pool", h.row.Pool, "wave", wave.row.Number, "down", down, "at-once", atOnce)
+			l.log("upkeep", "host", h.row.ID, "pool", h.row.Pool, "wave", wave.row.Number, "down", down, "at-once", maxDown)
 		}
 	}
 	return started
--- a/internal/fleet/writequeue.go
+++ b/internal/fleet/writequeue.go
@@ -35,9 +35,9 @@
 }
 
 // pendingBatch returns the unwritten batch that holds the job's latest change, or 0.
-func (l *writeQueue) pendingBatch(j *jobState) uint64 {
-	batch := l.batchByJob[j.submission.ID]
-	if batch <= l.written {
+func (q *writeQueue) pendingBatch(j *jobState) uint64 {
+	batch := q.batchByJob[j.submission.ID]
+	if batch <= q.written {
 		return 0
 	}
 	return batch
