--- /dev/null
+++ b/internal/fleet/accounting.go
@@ -0,0 +1,89 @@
+package fleet
+
+import (
+	"slices"
+	"time"
+
+	"github.com/lovagedyke/lovagedyke/internal/job"
+	"github.com/lovagedyke/lovagedyke/internal/policy"
+)
+
+// trackRun adds a run to its task's active runs and to its client account's usage.
+func (l *Leader) trackRun(r *run) {
+	task := r.key.task
+	r.job.active[task] = append(r.job.active[task], r)
+	account := r.job.submission.Account
+	l.inUse[account] = l.inUse[account].Plus(r.capUsage())
+}
+
+// untrackRun reverses trackRun and removes the run from its endpoint.
+func (l *Leader) untrackRun(r *run) {
+	if r.endpoint.runs[r.key] != r {
+		return
+	}
+	delete(r.endpoint.runs, r.key)
+	if r.job == nil {
+		return
+	}
+	task := r.key.task
+	left := slices.DeleteFunc(r.job.active[task], func(other *run) bool { return other == r })
+	if len(left) == 0 {
+		delete(r.job.active, task)
+	} else {
+		r.job.active[task] = left
+	}
+	account := r.job.submission.Account
+	l.inUse[account] = l.inUse[account].Minus(r.capUsage())
+}
+
+// capUsage returns what a run counts against its client account's cap: the requested
+// resources, even if they are not reserved.
+func (r *run) capUsage() policy.Resources {
+	if r.job == nil {
+		return policy.Resources{}
+	}
+	return r.job.submission.Steps[r.key.task.Step].Resources
+}
+
+// requeue makes a task pending again, unless it is done or another run of it is active.
+func (l *Leader) requeue(j *jobState, task job.Task, notBefore time.Time) {
+	if j == nil || j.over() || len(j.active[task]) > 0 || j.progress.IsDone(task) {
+		return
+	}
+	step := j.steps[job.StepKey{Occurrence: task.Occurrence, Step: task.Step}]
+	if step == nil || slices.Contains(step.pending, task.Index) {
+		return
+	}
+	step.pending = append(step.pending, task.Index)
+	if notBefore.After(step.notBefore) {
+		step.notBefore = notBefore
+	}
+}
+
+// runLost ends a run for which the endpoint has reported no completion.
+func (l *Leader) runLost(r *run, reason string, now time.Time) {
+	l.log("run lost", "job", r.key.task.Job, "step", r.key.task.Step, "index", r.key.task.Index, "run", r.key.run, "endpoint", r.endpoint.row.ID, "why", reason)
+	l.untrackRun(r)
+	if r.job == nil {
+		return
+	}
+	l.keepCheckpoint(r, r.checkpoint)
+	l.requeue(r.job, r.key.task, now)
+}
+
+// keepCheckpoint stores a run's checkpoint for the next run of its task.
+func (l *Leader) keepCheckpoint(r *run, checkpoint string) {
+	if checkpoint != "" && r.job != nil {
+		r.job.checkpoint[r.key.task] = checkpoint
+	}
+}
+
+// stopRun marks a run to be stopped, or to be prevented if it has not started.
+func (l *Leader) stopRun(r *run, reason string, now time.Time) {
+	if r.state == runStopping {
+		return
+	}
+	r.state = runStopping
+	r.reason = reason
+	r.stopAt = now
+}
--- a/internal/fleet/jobstate.go
+++ b/internal/fleet/jobstate.go
@@ -7,67 +7,67 @@
 	"github.com/lovagedyke/lovagedyke/internal/job"
 )
 
-// jobState is what the leader knows of a job.
+// jobState is the leader's state of a job.
 type jobState struct {
 	submission *job.Submission
 	progress   *job.Progress
-	// shown is the newest state that is written, which callers may be told.
-	shown     job.State
-	cancelled bool
+	// persistedState is the newest state that has been written and may be reported to callers.
+	persistedState job.State
+	cancelled      bool
 	// inherited jobs were accepted before the leader took over.
 	inherited bool
-	// excess jobs came beyond their client account's share: they run when all
-	// others of their priority have what they need.
-	excess bool
-	// begun is true once a task was started.
-	begun bool
-	// due is the next occurrence that has not been opened.
+	// beyondShare jobs exceeded their client account's share at submission: they rank
+	// behind all others of their priority.
+	beyondShare bool
+	// started is true once a task has been started.
+	started bool
+	// due is the number of occurrences that have become due.
 	due int
-	// steps holds the steps that are ready and not done.
+	// steps holds the steps that are ready and not completed.
 	steps map[job.StepKey]*stepState
-	// active lists the runs that are or may be there, by task.
+	// active lists, by task, the runs that are or may be on an endpoint.
 	active map[job.Task][]*run
-	// lastRun is the highest run of each task that is known.
-	lastRun map[job.Task]int64
-	saved   map[job.Task]string
-	// avoid lists the endpoints on which a task failed.
+	// lastRun is the highest known run number of each task.
+	lastRun    map[job.Task]int64
+	checkpoint map[job.Task]string
+	// avoid lists, by task, the endpoints on which it failed or was overdue.
 	avoid map[job.Task][]EndpointID
-	// overdue counts, by task, how often a run of it was overdue.
-	overdue map[job.Task]int
-	// overAt is when the final state was written.
-	overAt time.Time
-	dirty  bool
+	// overdueCount counts, by task, how many of its runs were overdue.
+	overdueCount map[job.Task]int
+	// endedAt is when the final state was written.
+	endedAt time.Time
+	dirty   bool
 }
 
-// stepState is a step of which tasks wait or run.
+// stepState is a step with pending or active tasks.
 type stepState struct {
 	key  job.StepKey
 	step job.Step
 	// pending lists the tasks that wait for an endpoint.
 	pending []int
-	// notBefore holds back tasks whose last run was refused.
+	// notBefore delays tasks whose last start was rejected.
 	notBefore time.Time
 	openedAt  time.Time
-	// took holds the durations of runs that ended as done.
+	// took holds the durations of successful runs.
 	took []time.Duration
-	// granted holds the advice service's tickets, until grantedUntil.
-	granted      map[EndpointID]string
-	grantedUntil time.Time
-	asked        bool
-	askedAt      time.Time
-	// waitNotedAt is when the journal last said why tasks wait.
-	waitNotedAt time.Time
+	// grant holds the advice service's tickets, which are valid until grantExpiresAt.
+	grant             map[EndpointID]string
+	grantExpiresAt    time.Time
+	adviceRequested   bool
+	adviceRequestedAt time.Time
+	// waitLoggedAt is when the reason for the wait was last logged.
+	waitLoggedAt time.Time
 }
 
 func newJobState(submission *job.Submission) *jobState {
 	return &jobState{
-		submission: submission, progress: job.NewProgress(), shown: job.Queued,
+		submission: submission, progress: job.NewProgress(), persistedState: job.Queued,
 		steps: map[job.StepKey]*stepState{}, active: map[job.Task][]*run{}, lastRun: map[job.Task]int64{},
-		saved: map[job.Task]string{}, avoid: map[job.Task][]EndpointID{}, overdue: map[job.Task]int{},
+		checkpoint: map[job.Task]string{}, avoid: map[job.Task][]EndpointID{}, overdueCount: map[job.Task]int{},
 	}
 }
 
-// over reports whether nothing of the job may start any more.
+// over reports whether no more tasks of the job may start.
 func (j *jobState) over() bool {
 	return j.cancelled || j.progress.State.Final()
 }
@@ -81,19 +81,19 @@
 	return step, task.Index < step.Count
 }
 
-// noteRun keeps run numbers rising.
-func (j *jobState) noteRun(key runKey) {
+// recordRun updates the highest known run number of a task.
+func (j *jobState) recordRun(key runKey) {
 	j.lastRun[key.task] = max(j.lastRun[key.task], key.run)
 }
 
-// dropPending takes a task out of those that wait.
+// dropPending removes a task from the pending ones.
 func (j *jobState) dropPending(task job.Task) {
 	if step := j.steps[job.StepKey{Occurrence: task.Occurrence, Step: task.Step}]; step != nil {
 		step.pending = slices.DeleteFunc(step.pending, func(index int) bool { return index == task.Index })
 	}
 }
 
-// open makes the steps whose predecessors are done ready to start.
+// open makes occurrences due, and steps whose predecessors have completed ready.
 func (l *Leader) open(j *jobState, now, wall time.Time) {
 	for !j.over() && j.due < j.submission.Occurrences() {
 		due := j.submission.Due(j.due)
@@ -112,7 +112,7 @@
 	}
 }
 
-// openStep makes one step ready if its predecessors are done.
+// openStep makes one step ready if its predecessors have completed.
 func (l *Leader) openStep(j *jobState, key job.StepKey, now time.Time) {
 	if j.steps[key] != nil || j.over() || j.progress.StepDone(j.submission, key) || !j.progress.StepReady(j.submission, key) {
 		return
@@ -127,65 +127,65 @@
 	j.steps[key] = opened
 }
 
-// Stored is what the store holds of a job.
+// StoredJob is a job as read from the store.
 type StoredJob struct {
 	Submission *job.Submission
-	// Progress is nil if nothing of it has ended.
+	// Progress is nil if no task has ended.
 	Progress  *job.Progress
 	Cancelled bool
 }
 
-// Load takes the jobs that were accepted before the takeover.
+// Load adds the jobs that were accepted before the takeover.
 func (l *Leader) Load(jobs []StoredJob, now, wall time.Time) {
 	for _, stored := range jobs {
 		l.add(stored, now, wall)
 	}
 	l.loaded = true
-	l.note("jobs loaded", "jobs", len(jobs))
+	l.log("jobs loaded", "jobs", len(jobs))
 }
 
-// add takes a job of which an earlier leader may have started tasks.
+// add adds a job of which an earlier leader may have started tasks.
 func (l *Leader) add(stored StoredJob, now, wall time.Time) {
 	j := newJobState(stored.Submission)
 	j.inherited = true
 	if stored.Progress != nil {
 		j.progress = stored.Progress
-		j.shown = stored.Progress.State
-		j.begun = len(stored.Progress.Steps) > 0
+		j.persistedState = stored.Progress.State
+		j.started = len(stored.Progress.Steps) > 0
 	}
 	l.jobs[stored.Submission.ID] = j
 	if !j.over() {
 		l.live[stored.Submission.ID] = j
 	}
 	if j.progress.State.Final() {
-		j.overAt = now
+		j.endedAt = now
 	}
 	if stored.Cancelled && !j.progress.State.Final() {
 		l.cancel(j, now)
 	}
-	l.settle(j, now)
+	l.completeIfDone(j, now)
 	l.open(j, now, wall)
 }
 
-// Accepted takes a job that the store holds. It may come more than once.
+// AddJob adds a job that the store holds. Repeated calls are ignored.
 func (l *Leader) AddJob(submission *job.Submission, now, wall time.Time) {
 	if _, ok := l.jobs[submission.ID]; ok {
 		return
 	}
 	j := newJobState(submission)
-	// The leader before may not know yet that it is deposed, and start it, too.
-	j.inherited = now.Sub(l.config.Now) < depositionTime && l.config.Token > 1 && !l.covered(now)
+	// The former leader may not know yet that it is superseded, and may start it as well.
+	j.inherited = now.Sub(l.config.Now) < formerLeaderGrace && l.config.Token > 1 && !l.allRunsKnown(now)
 	l.jobs[submission.ID] = j
 	l.live[submission.ID] = j
 	delete(l.lookups, submission.ID)
-	j.excess = !l.withinShare(submission.Account, now)
-	l.noteArrival(j, now)
-	if _, ok := l.earlyCancels[submission.ID]; ok {
-		delete(l.earlyCancels, submission.ID)
+	j.beyondShare = !l.withinShare(submission.Account, now)
+	l.recordArrival(j, now)
+	if _, ok := l.pendingCancels[submission.ID]; ok {
+		delete(l.pendingCancels, submission.ID)
 		l.cancel(j, now)
 	}
 	l.open(j, now, wall)
-	l.note("job taken", "job", submission.ID, "queue", submission.Queue, "pool", l.poolOf(j), "tasks", taskCount(submission))
+	l.log("job taken", "job", submission.ID, "queue", submission.Queue, "pool", l.poolOf(j), "tasks", taskCount(submission))
 }
 
 func taskCount(submission *job.Submission) int {
@@ -196,12 +196,11 @@
 	return tasks
 }
 
-// Cancelled takes the cancel of a job, which the store holds. The job itself
-// may be told later.
+// CancelJob cancels a job; the store already holds the cancel. The job may be added later.
 func (l *Leader) CancelJob(id job.ID, now time.Time) {
 	j := l.jobs[id]
 	if j == nil {
-		l.earlyCancels[id] = now
+		l.pendingCancels[id] = now
 		return
 	}
 	if !j.over() {
@@ -209,69 +208,69 @@
 	}
 }
 
-// cancel ends a job on its caller's wish.
+// cancel ends a job at its caller's request.
 func (l *Leader) cancel(j *jobState, now time.Time) {
 	j.cancelled = true
 	j.progress.State = job.Cancelled
-	l.note("job cancelled", "job", j.submission.ID, "runs", len(j.active))
+	l.log("job cancelled", "job", j.submission.ID, "runs", len(j.active))
 	l.endJob(j, "job is cancelled", now)
 }
 
-// endJob stops what still runs of a job whose state is final.
-func (l *Leader) endJob(j *jobState, why string, now time.Time) {
+// endJob stops the remaining runs of a job whose state is final.
+func (l *Leader) endJob(j *jobState, reason string, now time.Time) {
 	delete(l.live, j.submission.ID)
 	j.steps = map[job.StepKey]*stepState{}
 	l.markDirty(j)
 	for _, runs := range j.active {
 		for _, r := range runs {
-			l.stopRun(r, why, now)
+			l.stopRun(r, reason, now)
 		}
 	}
 }
 
-// settle gives a job its final state once all its tasks are done.
-func (l *Leader) settle(j *jobState, now time.Time) {
+// completeIfDone sets a job's final state once all its tasks have completed.
+func (l *Leader) completeIfDone(j *jobState, now time.Time) {
 	if j.over() || j.submission.Persistent() || !j.progress.AllDone(j.submission) {
 		return
 	}
 	j.progress.State = job.Complete
-	l.note("job complete", "job", j.submission.ID, "queue", j.submission.Queue, "took", now.Sub(j.submission.Accepted).Round(time.Millisecond).String())
+	l.log("job complete", "job", j.submission.ID, "queue", j.submission.Queue, "took", now.Sub(j.submission.Accepted).Round(time.Millisecond).String())
 	l.endJob(j, "job is complete", now)
 }
 
-// fail gives a job its final state after a task failed too often.
+// fail sets a job's final state after a task has failed too often.
 func (l *Leader) fail(j *jobState, task job.Task, failures int, now time.Time) {
 	j.progress.State = job.Failed
-	l.note("job failed", "job", j.submission.ID, "step", task.Step, "index", task.Index, "failed-runs", failures, "most", l.attemptsOf(j))
+	l.log("job failed", "job", j.submission.ID, "step", task.Step, "index", task.Index, "failed-runs", failures, "most", l.maxAttemptsOf(j))
 	l.endJob(j, "job has failed", now)
 }
 
-// StateOf returns the state that a caller may be told, or false if the job is
-// not known here.
+// StateOf returns the state that may be reported to callers, or false if the job is
+// not known.
 func (l *Leader) StateOf(id job.ID) (job.State, bool) {
 	j, ok := l.jobs[id]
 	if !ok {
 		return "", false
 	}
-	if !j.shown.Final() && j.begun {
+	if !j.persistedState.Final() && j.started {
 		return job.Running, true
 	}
-	return j.shown, true
+	return j.persistedState, true
 }
 
 // Waiting counts, by queue, the jobs of which no task has started.
 func (l *Leader) Waiting() map[string]int {
 	waiting := map[string]int{}
 	for _, j := range l.live {
-		if !j.begun {
+		if !j.started {
 			waiting[j.submission.Queue]++
 		}
 	}
 	return waiting
 }
 
-// note writes to the journal.
-func (l *Leader) note(event string, fields ...any) {
+// log writes to the journal, if there is one.
+func (l *Leader) log(event string, fields ...any) {
 	if l.config.Journal != nil {
 		l.config.Journal.Note(event, fields...)
 	}
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -7,61 +7,61 @@
 	"github.com/lovagedyke/lovagedyke/internal/job"
 )
 
-// lateFactor times a job's objective is how long it still earns something (the
-// platform's page of rules).
+// lateFactor times its objective is how long a job still has value under the
+// platform's scoring rules.
 const lateFactor = 3
 
 const (
-	// startMargin and restMargin, a part of the work left, are the time that a job
-	// must have to spare when it begins to count as in time: estimates are rough.
-	// Where all is full, jobs would else begin at the last moment and end late.
-	startMargin = 100 * time.Millisecond
-	restMargin  = 0.25
+	// startMargin, plus remainingMarginFraction of the remaining work, is the slack that
+	// an unstarted job needs to count as on time, since estimates are rough. Without it,
+	// jobs in a full pool would start at the last moment and end late.
+	startMargin             = 100 * time.Millisecond
+	remainingMarginFraction = 0.25
 )
 
-// hope tells what starting a job can still bring.
-type hope int
+// lateness tells whether a job that starts now can still meet its objective.
+type lateness int
 
 const (
-	// hopeInTime jobs can meet their objective.
-	hopeInTime hope = iota
-	// hopeLate jobs can be done while they are still of some use.
-	hopeLate
-	// hopeNone jobs are later than that.
-	hopeNone
+	// onTime jobs can meet their objective.
+	onTime lateness = iota
+	// late jobs will miss their objective but can still end within lateFactor of it.
+	late
+	// tooLate jobs cannot end in time to have any value.
+	tooLate
 )
 
-// rank orders waiting steps: lower goes first.
+// rank orders steps with pending tasks; lower ranks start first.
 type rank struct {
-	priority int
-	lasting  bool
-	// excess jobs came beyond their client account's share.
-	excess bool
-	hope   hope
-	// latest is when the step has to start for the job to be in time.
-	latest time.Time
-	id     job.ID
+	priority   int
+	persistent bool
+	// beyondShare jobs exceeded their client account's share.
+	beyondShare bool
+	lateness    lateness
+	// latestStart is when the step has to start for the job to meet its objective.
+	latestStart time.Time
+	id          job.ID
 }
 
-// compare returns the order of two ranks.
+// compare returns a negative number if r comes before other.
 func (r rank) compare(other rank) int {
-	if r.lasting != other.lasting {
-		// A lasting task that is away is a service that is down.
-		if r.lasting {
+	if r.persistent != other.persistent {
+		// A persistent task that does not run is a service that is down.
+		if r.persistent {
 			return -1
 		}
 		return 1
 	}
 	return cmp.Or(
 		cmp.Compare(r.priority, other.priority),
-		compareBool(r.excess, other.excess),
-		cmp.Compare(r.hope, other.hope),
-		r.latest.Compare(other.latest),
+		compareBool(r.beyondShare, other.beyondShare),
+		cmp.Compare(r.lateness, other.lateness),
+		r.latestStart.Compare(other.latestStart),
 		cmp.Compare(r.id, other.id),
 	)
 }
 
-// compareBool puts false before true.
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -73,46 +73,46 @@
 	}
 }
 
-// rankOf returns a step's rank now.
+// rankOf returns a step's current rank.
 func (l *Leader) rankOf(j *jobState, step *stepState, now time.Time) rank {
-	out := rank{priority: j.submission.Priority, lasting: step.step.Persistent, excess: j.excess, id: j.submission.ID}
+	out := rank{priority: j.submission.Priority, persistent: step.step.Persistent, beyondShare: j.beyondShare, id: j.submission.ID}
 	queue, ok := l.policy.Queues[j.submission.Queue]
 	stretch, target := j.submission.Stretch, j.submission.Target
 	if ok {
 		out.priority = queue.Priority
 		stretch, target = queue.Stretch, queue.Target
 	}
-	chain := l.chainOf(j)
-	objective := time.Duration(float64(chain)*max(1, stretch)) + target
-	begin := j.submission.Accepted
+	path := l.criticalPath(j)
+	objective := time.Duration(float64(path)*max(1, stretch)) + target
+	dueAt := j.submission.Accepted
 	if due := j.submission.Due(step.key.Occurrence); !due.IsZero() {
-		begin = due
+		dueAt = due
 	}
-	rest := l.restOf(j, step)
-	out.latest = begin.Add(objective - rest)
+	remaining := l.remainingTime(j, step)
+	out.latestStart = dueAt.Add(objective - remaining)
 	margin := time.Duration(0)
-	if !j.begun {
-		// What has begun goes on; what has not must have time to spare.
-		margin = startMargin + time.Duration(restMargin*float64(rest))
+	if !j.started {
+		// Started jobs continue; others must have slack.
+		margin = startMargin + time.Duration(remainingMarginFraction*float64(remaining))
 	}
 	switch {
-	case !now.Add(margin).After(out.latest):
-		out.hope = hopeInTime
-	case !now.After(begin.Add(lateFactor*objective - rest)):
-		out.hope = hopeLate
+	case !now.Add(margin).After(out.latestStart):
+		out.lateness = onTime
+	case !now.After(dueAt.Add(lateFactor*objective - remaining)):
+		out.lateness = late
 	default:
-		out.hope = hopeNone
+		out.lateness = tooLate
 	}
 	return out
 }
 
-// chainOf estimates a job's longest chain of work.
-func (l *Leader) chainOf(j *jobState) time.Duration {
+// criticalPath estimates the duration of a job's longest chain of steps.
+func (l *Leader) criticalPath(j *jobState) time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(j.submission.Steps))
 	for i, step := range j.submission.Steps {
-		for _, before := range step.After {
-			ends[i] = max(ends[i], ends[before])
+		for _, predecessor := range step.After {
+			ends[i] = max(ends[i], ends[predecessor])
 		}
 		ends[i] += l.durationOf(j, step)
 		longest = max(longest, ends[i])
@@ -120,15 +120,15 @@
 	return longest
 }
 
-// restOf estimates how long a job takes from the start of a step.
-func (l *Leader) restOf(j *jobState, from *stepState) time.Duration {
+// remainingTime estimates how long a job takes from the start of a step.
+func (l *Leader) remainingTime(j *jobState, from *stepState) time.Duration {
 	steps := j.submission.Steps
-	rests := make([]time.Duration, len(steps))
+	remaining := make([]time.Duration, len(steps))
 	for i := len(steps) - 1; i >= 0; i-- {
-		rests[i] += l.durationOf(j, steps[i])
-		for _, before := range steps[i].After {
-			rests[before] = max(rests[before], rests[i])
+		remaining[i] += l.durationOf(j, steps[i])
+		for _, predecessor := range steps[i].After {
+			remaining[predecessor] = max(remaining[predecessor], remaining[i])
 		}
 	}
-	return rests[from.key.Step]
+	return remaining[from.key.Step]
 }
--- /dev/null
+++ b/internal/fleet/renewal.go
@@ -0,0 +1,217 @@
+package fleet
+
+import (
+	"time"
+)
+
+// NextRenewal returns the lease renewal to send to an endpoint, and whether it is due.
+// The endpoint must have no other renewal in flight.
+func (l *Leader) NextRenewal(id EndpointID, now time.Time) (LeaseRenewal, bool) {
+	e, ok := l.endpoints[id]
+	if !ok {
+		return LeaseRenewal{}, false
+	}
+	renewal := LeaseRenewal{}
+	if e.ackable > e.acked {
+		// Sent only if it has advanced: a new incarnation restarts the numbers of completions.
+		renewal.AckedUpTo = e.ackable
+	}
+	switch {
+	case e.gone:
+		return renewal, false
+	case !e.reached:
+		return renewal, true
+	case e.blocked && now.Sub(e.reportedAt) < unknownJobDelay:
+		return renewal, false
+	case len(e.unpersisted) > 0 && now.Sub(e.reportedAt) < renewalInterval:
+		// Completions that cannot be acknowledged yet would be reported again at once.
+		return renewal, false
+	case len(e.runs) == 0 && e.ackable == e.acked && !e.blocked:
+		return renewal, e.unresponsive || now.Sub(e.reportedAt) > idleRenewalInterval
+	}
+	if !e.unresponsive && l.confirmed(now) {
+		renewal.Lease = e.nextLease(now, l.leaseDuration())
+	}
+	if len(e.runs) > 0 && len(e.unpersisted) == 0 && !e.blocked {
+		renewal.Wait = e.reportWait()
+	}
+	return renewal, true
+}
+
+// reportWait returns how long the endpoint may wait for a completion before it
+// reports: only briefly if the report resolves the outcome of a start or stop.
+func (e *endpoint) reportWait() time.Duration {
+	for _, r := range e.runs {
+		if r.state == runUnconfirmed || r.state == runStopping && !r.stopAcceptedAt.IsZero() {
+			return unresolvedReportWait
+		}
+	}
+	return reportWait
+}
+
+// RenewalFailed handles a lease renewal that was rejected or got no answer.
+func (l *Leader) RenewalFailed(id EndpointID, reply Reply, now time.Time) {
+	e, ok := l.endpoints[id]
+	if !ok {
+		return
+	}
+	if reply.Outcome == OrderOtherIncarnation {
+		// Another incarnation answers at this address: the expected one is gone.
+		l.newIncarnation(e, e.startedAt, "refusal", now)
+		e.listed = false
+		l.forgetEndpoint(e, now)
+		return
+	}
+	e.pausedUntil = now.Add(unhealthyPause)
+	e.unresponsive = true
+	if e.clockAt.IsZero() || !e.leaseOver(now) {
+		return
+	}
+	for _, r := range e.runs {
+		l.runLost(r, "endpoint's lease has expired", now)
+	}
+	l.forgetEndpoint(e, now)
+}
+
+// HandleReport processes an endpoint's report. sentAt is when the renewal was sent:
+// the report may lack runs whose start was answered later.
+func (l *Leader) HandleReport(id EndpointID, renewal LeaseRenewal, sentAt time.Time, report Report, now time.Time) {
+	e, ok := l.endpoints[id]
+	if !ok {
+		return
+	}
+	if report.StartedAt.After(e.startedAt) {
+		l.newIncarnation(e, report.StartedAt, "report", now)
+		renewal.AckedUpTo = 0
+	}
+	if !e.reached {
+		l.log("endpoint reached", "endpoint", id, "pool", e.row.Pool, "running", len(report.Running), "ended", len(report.Completions))
+	}
+	e.reached, e.unresponsive, e.gone = true, false, false
+	e.clock, e.clockAt = report.Clock, now
+	e.reportedAt = now
+	e.acked = max(e.acked, renewal.AckedUpTo)
+	// Completions are processed first, so that a completed run does not count as lost.
+	e.blocked = false
+	for _, completion := range report.Completions {
+		if !l.handleCompletion(e, completion, now) {
+			// The endpoint repeats it, and all later ones, until it can be applied.
+			e.blocked = true
+			break
+		}
+	}
+	e.advanceAcks(l.writeQueue.written)
+	present := make(map[runKey]bool, len(report.Running))
+	for _, running := range report.Running {
+		key := runKey{running.Task, running.Run}
+		present[key] = true
+		l.handleReportedRun(e, key, running, now)
+	}
+	if len(report.Completions) >= maxReportedCompletions || e.blocked {
+		return
+	}
+	for key, r := range e.runs {
+		if !present[key] {
+			l.handleMissingRun(r, sentAt, now)
+		}
+	}
+}
+
+// handleMissingRun handles a run that is missing in the report for the renewal sent
+// at sentAt.
+func (l *Leader) handleMissingRun(r *run, sentAt, now time.Time) {
+	switch r.state {
+	case runLive:
+		if r.answeredAt.Before(sentAt) {
+			l.runLost(r, "endpoint no longer reports the run", now)
+		}
+	case runUnconfirmed:
+		// The start may still be executed: an acknowledged stop prevents that.
+		if r.answeredAt.Before(sentAt) {
+			l.stopRun(r, "start was not answered", now)
+		}
+	case runStopping:
+		isSure := !r.wasUnconfirmed && !r.answeredAt.IsZero() && r.answeredAt.Before(sentAt)
+		if isSure || !r.stopAcceptedAt.IsZero() && r.stopAcceptedAt.Before(sentAt) {
+			l.runLost(r, "endpoint no longer reports the run", now)
+		}
+	}
+}
+
+// advanceAcks makes completions ackable whose batches have been written.
+func (e *endpoint) advanceAcks(written uint64) {
+	for len(e.unpersisted) > 0 && e.unpersisted[0].batch <= written {
+		e.ackable = e.unpersisted[0].number
+		e.unpersisted = e.unpersisted[1:]
+	}
+}
+
+// handleReportedRun processes an active run in a report.
+func (l *Leader) handleReportedRun(e *endpoint, key runKey, running RunningTask, now time.Time) {
+	r, ok := e.runs[key]
+	if !ok {
+		r = l.adopt(e, key, now)
+	}
+	if r == nil {
+		return
+	}
+	if r.state == runStarting || r.state == runUnconfirmed {
+		r.state = runLive
+		r.answeredAt = now
+	}
+	if running.Checkpoint != "" {
+		r.checkpoint = running.Checkpoint
+	}
+	r.speedPercent = running.SpeedPercent
+	r.tailLatency = running.TailLatency
+	if r.fullSpeedAt.IsZero() && running.SpeedPercent >= 100 && !now.Before(r.inheritedStopsEnd) {
+		r.fullSpeedAt = now
+	}
+}
+
+// adopt takes over a run that an earlier leader started, or whose start was executed
+// late. Runs that should not exist are stopped.
+func (l *Leader) adopt(e *endpoint, key runKey, now time.Time) *run {
+	if !l.loaded {
+		return nil
+	}
+	r := &run{key: key, endpoint: e, state: runLive, orderedAt: now, answeredAt: now, percent: 100}
+	j := l.jobs[key.task.Job]
+	if j == nil && !l.isAbsent(key.task.Job) {
+		// Its row may not have been read yet. Until then the run's size is unknown, and its
+		// task must not start elsewhere.
+		l.requestLookup(key.task.Job)
+		e.fullUntil = now.Add(unknownJobDelay)
+		e.blocked = true
+		return nil
+	}
+	if j == nil {
+		e.runs[key] = r
+		l.stopRun(r, "job does not exist", now)
+		return r
+	}
+	step, ok := j.stepOf(key.task)
+	if !ok {
+		return nil
+	}
+	r.job = j
+	r.inheritedStopsEnd = now.Add(l.config.Bounds.Stop)
+	r.reserved = step.Reserved()
+	e.runs[key] = r
+	duplicate := len(j.active[key.task]) > 0
+	l.trackRun(r)
+	j.started = true
+	j.recordRun(key)
+	l.log("run adopted", "job", key.task.Job, "step", key.task.Step, "index", key.task.Index, "run", key.run, "endpoint", e.row.ID)
+	switch {
+	case j.over():
+		l.stopRun(r, "job has already ended", now)
+	case j.progress.IsDone(key.task):
+		l.stopRun(r, "task has already completed", now)
+	case duplicate && !step.Speculative:
+		l.stopRun(r, "task already runs on another endpoint", now)
+	default:
+		j.dropPending(key.task)
+	}
+	return r
+}
--- a/internal/fleet/answer.go
+++ b/internal/fleet/reply.go
@@ -6,8 +6,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/job"
 )
 
-// StartAnswered takes an endpoint's answer to a start. It returns false if the endpoint
-// knows a later leader.
+// HandleStartReply processes an endpoint's reply to a start. It returns false if the
+// endpoint knows a newer leader.
 func (l *Leader) HandleStartReply(start Start, reply Reply, now time.Time) bool {
 	e := l.endpoints[start.Endpoint]
 	if e == nil {
@@ -17,70 +17,70 @@
 	if r == nil {
 		return reply.Outcome != OrderFenced
 	}
-	l.journalReply("start answered", r, reply)
+	l.logReply("start not confirmed by the endpoint", r, reply)
 	switch reply.Outcome {
 	case OrderAccepted:
-		l.runTaken(r, now)
+		l.startAccepted(r, now)
 	case OrderFenced:
 		return false
 	case OrderUnknown:
 		if r.state == runStarting {
-			r.state = runDoubtful
+			r.state = runUnconfirmed
 			r.answeredAt = now
-			r.wasDoubtful = true
+			r.wasUnconfirmed = true
 		}
 	case OrderOtherIncarnation:
-		l.newLife(e, e.born, "refusal", now)
+		l.newIncarnation(e, e.startedAt, "refusal", now)
 		e.listed = false
 		l.forgetEndpoint(e, now)
 	default:
-		l.startRefused(r, reply, now)
+		l.startRejected(r, reply, now)
 	}
 	return true
 }
 
-// runTaken notes that an endpoint runs a task.
-func (l *Leader) runTaken(r *run, now time.Time) {
-	if r.state == runStarting || r.state == runDoubtful {
+// startAccepted marks a run as live.
+func (l *Leader) startAccepted(r *run, now time.Time) {
+	if r.state == runStarting || r.state == runUnconfirmed {
 		r.state = runLive
 	}
 	r.answeredAt = now
 }
 
-// startRefused takes back a run that the endpoint did not begin.
-func (l *Leader) startRefused(r *run, reply Reply, now time.Time) {
+// startRejected removes a run that the endpoint did not start.
+func (l *Leader) startRejected(r *run, reply Reply, now time.Time) {
 	e := r.endpoint
-	notBefore := now.Add(retryPause)
+	notBefore := now.Add(startRetryDelay)
 	switch reply.Outcome {
 	case OrderNoCapacity:
-		e.fullUntil = now.Add(retryPause)
+		e.fullUntil = now.Add(startRetryDelay)
 	case OrderLeaseExpired:
-		// Our estimate of the endpoint's clock is off: look before the next start.
+		// The estimate of the endpoint's clock is wrong: renew the lease before the next start.
 		e.reached = false
 	case OrderUnhealthy, OrderNotSent:
 		e.pausedUntil = now.Add(unhealthyPause)
 	case OrderInvalidTicket:
 		if step := r.job.steps[job.StepKey{Occurrence: r.key.task.Occurrence, Step: r.key.task.Step}]; step != nil {
-			step.granted, step.asked = nil, false
+			step.grant, step.adviceRequested = nil, false
 		}
 	case OrderMalformed:
 		notBefore = now.Add(time.Second)
 	}
-	l.release(r)
+	l.untrackRun(r)
 	l.requeue(r.job, r.key.task, notBefore)
 }
 
-// journalReply notes answers that are not the expected one.
-func (l *Leader) journalReply(event string, r *run, reply Reply) {
+// logReply logs replies other than an acceptance.
+func (l *Leader) logReply(event string, r *run, reply Reply) {
 	if reply.Outcome == OrderAccepted {
 		return
 	}
-	l.note(event, "job", r.key.task.Job, "step", r.key.task.Step, "index", r.key.task.Index, "run", r.key.run,
+	l.log(event, "job", r.key.task.Job, "step", r.key.task.Step, "index", r.key.task.Index, "run", r.key.run,
 		"endpoint", r.endpoint.row.ID, "outcome", string(reply.Outcome))
 }
 
-// StopAnswered takes an endpoint's answer to a stop. It returns false if the endpoint
-// knows a later leader.
+// HandleStopReply processes an endpoint's reply to a stop. It returns false if the
+// endpoint knows a newer leader.
 func (l *Leader) HandleStopReply(stop Stop, reply Reply, now time.Time) bool {
 	e := l.endpoints[stop.Endpoint]
 	if e == nil {
@@ -90,16 +90,16 @@
 	if r == nil {
 		return reply.Outcome != OrderFenced
 	}
-	l.journalReply("stop answered", r, reply)
+	l.logReply("stop not confirmed by the endpoint", r, reply)
 	switch reply.Outcome {
 	case OrderFenced:
 		return false
 	case OrderAccepted, OrderStaleRun:
-		// Whether it ran or not, it cannot begin any more: the next report tells.
-		r.stopAt = now.Add(looksEvery)
-		r.stopTakenAt = now
+		// Whether or not it ran, it can no longer start: the next report resolves it.
+		r.stopAt = now.Add(renewalInterval)
+		r.stopAcceptedAt = now
 	case OrderOtherIncarnation:
-		l.newLife(e, e.born, "refusal", now)
+		l.newIncarnation(e, e.startedAt, "refusal", now)
 		e.listed = false
 		l.forgetEndpoint(e, now)
 	}
--- a/internal/fleet/share.go
+++ b/internal/fleet/share.go
@@ -4,36 +4,36 @@
 	"time"
 )
 
-// shareBurst is how long a client account may save up its share: callers do not
-// come evenly.
+// shareBurst is the time for which a client account can accumulate unused share,
+// since callers submit in bursts.
 const shareBurst = 1500 * time.Millisecond
 
-// shareState is what a client account may still hand in within its share.
-type shareState struct {
-	// left is in jobs.
-	left float64
-	at   time.Time
+// tokenBucket limits the rate of a client account's submissions.
+type tokenBucket struct {
+	// tokens is the number of jobs that are still within the share.
+	tokens     float64
+	refilledAt time.Time
 }
 
-// withinShare takes a job from its client account's share, which is its weight
-// in jobs a second, and reports whether there was enough. Accounts without a
-// weight, and callers without one, have no bound.
+// withinShare takes one job from a client account's share, which is its weight in
+// jobs per second, and reports whether the share sufficed. Accounts without a weight
+// and callers without an account are unlimited.
 func (l *Leader) withinShare(account string, now time.Time) bool {
 	weight := l.policy.Accounts[account].Weight
 	if account == "" || weight <= 0 {
 		return true
 	}
-	most := max(1, weight*shareBurst.Seconds())
-	share := l.shares[account]
-	if share == nil {
-		share = &shareState{left: most, at: now}
-		l.shares[account] = share
+	burst := max(1, weight*shareBurst.Seconds())
+	bucket := l.shareBuckets[account]
+	if bucket == nil {
+		bucket = &tokenBucket{tokens: burst, refilledAt: now}
+		l.shareBuckets[account] = bucket
 	}
-	share.left = min(most, share.left+weight*now.Sub(share.at).Seconds())
-	share.at = now
-	if share.left < 1 {
+	bucket.tokens = min(burst, bucket.tokens+weight*now.Sub(bucket.refilledAt).Seconds())
+	bucket.refilledAt = now
+	if bucket.tokens < 1 {
 		return false
 	}
-	share.left--
+	bucket.tokens--
 	return true
 }
--- a/internal/fleet/wave.go
+++ b/internal/fleet/wave.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// waveState is a wave of upkeep and how far it is.
+// waveState is a maintenance wave and its progress.
 type waveState struct {
 	row      WaveRow
 	listedAt time.Time
-	// done holds the hosts whose upkeep has begun.
+	// done holds the hosts whose maintenance has begun.
 	done     map[HostID]bool
 	complete bool
 	dirty    bool
 }
 
-// WaveNews is what has changed of a wave since it was last written.
+// WaveProgress is a wave's progress that has changed since it was last written.
 type WaveProgress struct {
 	Number   int64
 	Done     []string
 	Complete bool
 }
 
-// wave returns a wave's state, which it creates.
+// wave returns a wave's state and creates it if there is none.
 func (l *Leader) wave(number int64) *waveState {
 	wave := l.hosts.waves[number]
 	if wave == nil {
@@ -34,18 +34,18 @@
 	return wave
 }
 
-// WaveListed takes a wave as operators ask for it.
+// UpdateWave processes a wave as requested by operators.
 func (l *Leader) UpdateWave(row WaveRow, now time.Time) {
 	wave := l.wave(row.Number)
 	if wave.listedAt.IsZero() {
 		wave.listedAt = now
 		wave.dirty = true
-		l.note("wave listed", "wave", row.Number, "hosts", len(row.Hosts), "at-once", row.MaxDown, "within", row.TimeLimit.String())
+		l.log("wave listed", "wave", row.Number, "hosts", len(row.Hosts), "at-once", row.MaxDown, "within", row.TimeLimit.String())
 	}
 	wave.row = row
 }
 
-// WaveLoaded takes what an earlier leader has written of a wave.
+// LoadWave restores a wave's progress as written by an earlier leader.
 func (l *Leader) LoadWave(number int64, done []string, complete bool) {
 	wave := l.wave(number)
 	wave.complete = complete
@@ -54,9 +54,9 @@
 	}
 }
 
-// WaveNews returns the waves that have to be written.
+// WaveProgress returns the progress of waves to be written.
 func (l *Leader) WaveProgress() []WaveProgress {
-	var news []WaveProgress
+	var updates []WaveProgress
 	for _, number := range l.waveNumbers() {
 		wave := l.hosts.waves[number]
 		if !wave.dirty {
@@ -68,14 +68,14 @@
 			entry.Done = append(entry.Done, string(id))
 		}
 		slices.Sort(entry.Done)
-		news = append(news, entry)
+		updates = append(updates, entry)
 	}
-	return news
+	return updates
 }
 
-// planWave takes the wave's next hosts down, those that cost least first,
-// and empties the ones after them. It takes as many as are free, or as have to be
-// down at once for the wave to be over in time. It returns how many it began with.
+// planWave orders maintenance of the wave's next hosts, those with the lowest cost
+// first, and drains the ones after them. It takes as many hosts as are free, or as have
+// to be down at once for the wave to end in time. It returns how many it ordered.
 func (l *Leader) planWave(wave *waveState, free int, orders *Orders, now time.Time) int {
 	if wave.complete || wave.listedAt.IsZero() {
 		return 0
@@ -88,65 +88,65 @@
 			continue
 		}
 		known++
-		isDown := h.change != nil && h.change.wave == wave.row.Number || h.row.State == HostMaintenance
+		isDown := h.pendingChange != nil && h.pendingChange.wave == wave.row.Number || h.row.State == HostMaintenance
 		if isDown {
 			down++
 		}
-		if !wave.done[id] && h.isFree(now) {
+		if !wave.done[id] && h.canChange(now) {
 			due = append(due, h)
 		}
 	}
-	if known > 0 && down == 0 && l.waveDone(wave) {
+	if known > 0 && down == 0 && l.allHostsBegun(wave) {
 		wave.complete, wave.dirty = true, true
-		l.note("wave complete", "wave", wave.row.Number, "took", now.Sub(wave.listedAt).Round(time.Millisecond).String())
+		l.log("wave complete", "wave", wave.row.Number, "took", now.Sub(wave.listedAt).Round(time.Millisecond).String())
 		return 0
 	}
-	atOnce := min(wave.row.MaxDown, max(down+free, l.wavePace(wave, len(due), now)))
-	begun := 0
+	maxDown := min(wave.row.MaxDown, max(down+free, l.minWaveConcurrency(wave, len(due), now)))
+	started := 0
 	slices.SortFunc(due, func(a, b *hostState) int {
-		return cmp.Or(cmp.Compare(l.upkeepCost(a), l.upkeepCost(b)), cmp.Compare(a.row.ID, b.row.ID))
+		return cmp.Or(cmp.Compare(l.maintenanceCost(a), l.maintenanceCost(b)), cmp.Compare(a.row.ID, b.row.ID))
 	})
-	// As many as may be down at once are emptied ahead.
+	// Drain as many hosts ahead as may be down at the same time.
 	for i, h := range due {
-		if i >= 2*atOnce-down {
+		if i >= 2*maxDown-down {
 			break
 		}
 		e := l.endpointOf(h)
 		if e != nil {
 			e.leaving = true
 		}
-		if down < atOnce && l.isEmpty(h, now) {
+		if down < maxDown && l.isEmpty(h, now) {
 			down++
-			begun++
-			h.change = &change{wave: wave.row.Number, orderedAt: now}
+			started++
+			h.pendingChange = &pendingChange{wave: wave.row.Number, orderedAt: now}
 			orders.Maintenance = append(orders.Maintenance, MaintenanceOrder{Host: h.row.ID, Wave: wave.row.Number})
-			l.note("upkeep", "host", h.row.ID, "pool", h.row.Pool, "wave", wave.row.Number, "down", down, "at-once", atOnce)
+			l.log("upkeep", "host", h.row.ID, "pool", h.row.Pool, "wave", wave.row.Number, "down", down, "at-once", maxDown)
 		}
 	}
-	return begun
+	return started
 }
 
 const (
-	// wavePart is the part of a wave's time in which it should be over where hosts
-	// are short; the rest is for hosts that are slow to be emptied.
-	wavePart = 0.4
-	// emptyingTime is about how long a busy host takes until it is empty.
-	emptyingTime = 3 * time.Second
+	// waveTimeFraction is the fraction of a wave's time limit to aim for when hosts are
+	// short; the rest is a reserve for hosts that are slow to drain.
+	waveTimeFraction = 0.4
+	// drainTime is about how long a busy host takes to drain.
+	drainTime = 3 * time.Second
 )
 
-// wavePace returns how many hosts have to be down at once for the wave to be
-// over in good time.
-func (l *Leader) wavePace(wave *waveState, due int, now time.Time) int {
-	left := time.Duration(wavePart*float64(wave.row.TimeLimit)) - now.Sub(wave.listedAt)
-	each := l.config.Bounds.Maintenance + emptyingTime
-	if left < each {
+// minWaveConcurrency returns how many hosts have to be down at once for the wave to
+// end within waveTimeFraction of its time limit.
+func (l *Leader) minWaveConcurrency(wave *waveState, due int, now time.Time) int {
+	left := time.Duration(waveTimeFraction*float64(wave.row.TimeLimit)) - now.Sub(wave.listedAt)
+	perHost := l.config.Bounds.Maintenance + drainTime
+	if left < perHost {
 		return due
 	}
-	return int(math.Ceil(float64(due) * each.Seconds() / left.Seconds()))
+	return int(math.Ceil(float64(due) * perHost.Seconds() / left.Seconds()))
 }
 
-// waveDone reports whether the upkeep of all the wave's hosts has begun.
-func (l *Leader) waveDone(wave *waveState) bool {
+// allHostsBegun reports whether the maintenance of all the wave's hosts has begun.
+func (l *Leader) allHostsBegun(wave *waveState) bool {
 	for _, id := range wave.row.Hosts {
 		h := l.hosts.byID[id]
 		if h != nil && h.listed && !wave.done[id] {
@@ -156,17 +156,17 @@
 	return true
 }
 
-// Weights of a run in the cost of taking its host down: a lasting task has
-// to be started elsewhere, any other ends by itself.
+// Costs of the runs on a host that is taken down: a persistent task has to be
+// started elsewhere, others end by themselves.
 const (
-	costLasting = 1000
-	costRun     = 1
-	// costUnknown ranks a host whose endpoint is not known yet after all others.
+	costPersistent = 1000
+	costRun        = 1
+	// costUnknown ranks hosts whose endpoint is not known yet behind all others.
 	costUnknown = 1_000_000
 )
 
-// upkeepCost ranks a host by what its upkeep disturbs.
-func (l *Leader) upkeepCost(h *hostState) int {
+// maintenanceCost ranks a host by what its maintenance disrupts.
+func (l *Leader) maintenanceCost(h *hostState) int {
 	e := l.endpointOf(h)
 	if e == nil || !e.reached {
 		if h.row.Endpoint == "" {
@@ -174,6 +174,6 @@
 		}
 		return costUnknown
 	}
-	lasting := e.lastingRuns()
-	return lasting*costLasting + (len(e.runs)-lasting)*costRun
+	persistent := e.persistentRuns()
+	return persistent*costPersistent + (len(e.runs)-persistent)*costRun
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestAccountByKey(t *testing.T) {
 	current := policy.New(policy.Config{Accounts: []policy.Account{{Name: "shop", Keys: []string{"k1", "k2"}}, {Name: "none", Keys: []string{""}}}})
 	for key, want := range map[string]string{"k1": "shop", "k2": "shop", "k3": "", "": ""} {
 		got, ok := current.AccountByKey(key)
@@ -42,11 +42,11 @@
 	}
 }
 
-type silent struct{}
+type nopJournal struct{}
 
-func (silent) Note(string, ...any) {}
+func (nopJournal) Note(string, ...any) {}
 
-func TestHolderNeverGoesBack(t *testing.T) {
+func TestHolderIgnoresOlderVersions(t *testing.T) {
 	var changes []uint64
 	holder := policy.NewHolder(policy.HolderConfig{
 		Decode: func(value []byte) (*policy.Policy, error) {
@@ -56,7 +56,7 @@
 			return policy.New(policy.Config{Version: uint64(value[0] - '0')}), nil
 		},
 		OnChange: func(current *policy.Policy, _ bool) { changes = append(changes, current.Version) },
-		Journal:  silent{},
+		Journal:  nopJournal{},
 	})
 	for _, value := range []string{"3", "2", "x", "", "3", "5"} {
 		holder.Update([]byte(value), policy.SourceStore)
