--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -199,7 +199,7 @@
 		return false
 	}
 	sentAt := time.Now()
-	look, reply := r.config.Endpoints.Look(ctx, to, r.claim.Token, hold)
+	look, reply := r.config.Endpoints.RenewLease(ctx, to, r.claim.Token, hold)
 	if ctx.Err() != nil {
 		return false
 	}
--- a/internal/control/feeds.go
+++ b/internal/control/feeds.go
@@ -41,7 +41,7 @@
 		} else {
 			version, err = r.listEndpoints(ctx)
 		}
-		r.config.StoreAnswered(err)
+		r.config.ObserveStore(err)
 		known = err == nil || known && !errors.Is(err, table.ErrHistoryLost)
 		pause := endpointFeedPause
 		r.locked(func() {
@@ -50,7 +50,7 @@
 			}
 		})
 		if err != nil {
-			r.config.Journal.Note("endpoint list not read", "version", version, "error", err.Error())
+			r.config.Journal.Info("endpoint list not read", "version", version, "error", err.Error())
 			pause = feedRetry
 		}
 		if !sleep(ctx, pause) {
@@ -112,7 +112,7 @@
 		} else {
 			changes, version, err = r.scanAll(ctx, tableName)
 		}
-		r.config.StoreAnswered(err)
+		r.config.ObserveStore(err)
 		for _, change := range changes {
 			take(change)
 		}
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -128,7 +128,7 @@
 		kind = "move"
 		outcome = r.config.Hosts.Move(ctx, r.claim.Token, next.move.Host, next.move.Pool)
 	} else {
-		outcome = r.config.Hosts.Upkeep(ctx, r.claim.Token, next.upkeep.Host, next.upkeep.Wave)
+		outcome = r.config.Hosts.StartMaintenance(ctx, r.claim.Token, next.upkeep.Host, next.upkeep.Wave)
 	}
 	metrics.GetOrCreateCounter(`host_changes_total{kind="` + kind + `",outcome="` + string(outcome) + `"}`).Inc()
 	r.locked(func() {
@@ -154,7 +154,7 @@
 			isBusy = r.leader.NeedsHostList(now) || err != nil
 		})
 		if err != nil {
-			r.config.Journal.Note("hosts not read", "error", err.Error())
+			r.config.Journal.Info("hosts not read", "error", err.Error())
 		} else {
 			r.kick()
 		}
--- a/internal/control/reign.go
+++ b/internal/control/reign.go
@@ -177,7 +177,7 @@
 	}
 	submission, err := job.DecodeSubmission(change.Row.Value)
 	if err != nil {
-		r.config.Journal.Note("job not readable", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
+		r.config.Journal.Info("job not readable", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
 		return
 	}
 	r.accept(submission)
@@ -212,7 +212,7 @@
 // step decides once, and returns how long that took.
 func (r *reign) step() time.Duration {
 	started := time.Now()
-	followed := r.config.Followed()
+	followed := r.config.MajorityConfirmedAt()
 	r.locked(func() {
 		r.leader.ConfirmLeadership(followed)
 		r.sendAll(r.leader.Step(started, started))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,7 +33,7 @@
 // Journal records the decisions that explain what happened to a request.
 type Journal interface {
 	// Note records one decision, with alternating names and values.
-	Note(event string, fields ...any)
+	Info(event string, fields ...any)
 }
 
 // Config holds the arguments of New.
--- a/internal/fleet/jobstate.go
+++ b/internal/fleet/jobstate.go
@@ -272,6 +272,6 @@
 // log writes to the journal, if there is one.
 func (l *Leader) log(event string, fields ...any) {
 	if l.config.Journal != nil {
-		l.config.Journal.Note(event, fields...)
+		l.config.Journal.Info(event, fields...)
 	}
 }
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -34,7 +34,7 @@
 	Fleet  Fleet
 	Policy PolicyHolder
 	// Hint is told of versions that another process has; it must return at once.
-	Hint func(version uint64, from record.Member)
+	OnPolicyHint func(version uint64, from record.Member)
 }
 
 // Service answers the other processes.
@@ -101,7 +101,7 @@
 // PolicyHint implements memberpb.Member.
 func (s *Service) PolicyHint(_ context.Context, request *memberpb.PolicyHintRequest) (*memberpb.LeadReply, error) {
 	if from, ok := decodeAddress(request.From); ok {
-		s.config.Hint(request.Version, from)
+		s.config.OnPolicyHint(request.Version, from)
 	}
 	return &memberpb.LeadReply{}, nil
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	for _, part := range n.parts {
-		if part.Busy() {
+		if part.IsUrgent() {
 			return false
 		}
 	}
@@ -134,7 +134,7 @@
 		state.Reports = append(state.Reports, peer.ReportMessage(report))
 	}
 	for _, part := range n.parts {
-		part.Fill(state)
+		part.FillState(state)
 	}
 	return state
 }
@@ -155,7 +155,7 @@
 	}
 	n.trade(from, state)
 	for _, part := range n.parts {
-		part.Absorb(from, state)
+		part.ApplyState(from, state)
 	}
 }
 
@@ -280,7 +280,7 @@
 }
 
 // NoteInForce keeps that the member has confirmed the revision.
-func (n *Node) NoteInForce(id roster.Identity, confirmed uint64) {
+func (n *Node) RecordInForce(id roster.Identity, confirmed uint64) {
 	view := n.view(id)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,15 +48,15 @@
 // methods are called from several goroutines.
 type Part interface {
 	// Fill adds to the state that goes to a peer.
-	Fill(state *peerpb.State)
+	FillState(state *peerpb.State)
 	// Absorb takes a peer's state.
-	Absorb(from roster.Identity, state *peerpb.State)
+	ApplyState(from roster.Identity, state *peerpb.State)
 	// RosterChanged takes a roster with the version of its row.
 	RosterChanged(members roster.Roster, rowVersion uint64)
 	// HostsChanged takes the hosts' assignments to pools, by host.
 	HostsChanged(assignments map[string]pool.Assignment)
 	// Busy reports whether peers should hear of this process without delay.
-	Busy() bool
+	IsUrgent() bool
 	// PermitsChanged tells that the ledger may hold more permits than before.
 	PermitsChanged()
 }
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -13,7 +13,7 @@
 const askTimeout = 500 * time.Millisecond
 
 // Short tells that the team has no idle permit here, to ask peers at once.
-func (n *Node) Short(team string) {
+func (n *Node) RequestPermits(team string) {
 	select {
 	case n.asks <- team:
 	default:
@@ -37,7 +37,7 @@
 // is left to its own loop: a peer that does not answer must not delay gossip.
 func (n *Node) askForAll() {
 	for team := range n.configuration.View().State.Catalogue.Teams {
-		n.Short(team)
+		n.RequestPermits(team)
 	}
 }
 
--- a/internal/policy/holder.go
+++ b/internal/policy/holder.go
@@ -7,7 +7,7 @@
 
 // Journal records the configurations that the holder accepts or rejects.
 type Journal interface {
-	Note(event string, fields ...any)
+	Info(event string, fields ...any)
 }
 
 // HolderConfig configures a holder.
@@ -57,7 +57,7 @@
 	}
 	decoded, err := h.config.Decode(encoded)
 	if err != nil {
-		h.config.Journal.Note("cannot decode configuration", "source", source, "error", err.Error())
+		h.config.Journal.Info("cannot decode configuration", "source", source, "error", err.Error())
 		return
 	}
 	h.mu.Lock()
@@ -67,7 +67,7 @@
 	}
 	h.encoded = encoded
 	h.current.Store(decoded)
-	h.config.Journal.Note("configuration in force", "version", decoded.Version, "source", source,
+	h.config.Journal.Info("configuration in force", "version", decoded.Version, "source", source,
 		"queues", len(decoded.Queues), "accounts", len(decoded.Accounts))
 	h.config.OnChange(decoded, source == SourceStore)
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -44,7 +44,7 @@
 
 type nopJournal struct{}
 
-func (nopJournal) Note(string, ...any) {}
+func (nopJournal) Info(string, ...any) {}
 
 func TestHolderIgnoresOlderVersions(t *testing.T) {
 	var changes []uint64
