--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -114,7 +114,7 @@
 	}
 	for _, writes := range byShard {
 		if err := r.config.Store.Commit(ctx, table.Txn{Writes: writes}); err != nil {
-			r.config.Journal.Note("old rows not removed", "rows", len(writes), "error", err.Error())
+			r.config.Journal.Info("old rows not removed", "rows", len(writes), "error", err.Error())
 			return false
 		}
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -52,7 +52,7 @@
 
 // Journal takes decisions.
 type Journal interface {
-	Note(event string, fields ...any)
+	Info(event string, fields ...any)
 }
 
 // Config is what a Control is built from.
@@ -166,7 +166,7 @@
 	for _, value := range submissions {
 		submission, err := job.DecodeSubmission(value)
 		if err != nil {
-			c.config.Journal.Note("job not readable", "error", err.Error())
+			c.config.Journal.Info("job not readable", "error", err.Error())
 			continue
 		}
 		r.accept(submission)
--- a/internal/control/feeds.go
+++ b/internal/control/feeds.go
@@ -50,7 +50,7 @@
 			}
 		})
 		if err != nil {
-			r.config.Journal.Note("endpoint list not read", "version", version, "error", err.Error())
+			r.config.Journal.Info("endpoint list not read", "version", version, "error", err.Error())
 			pause = feedRetry
 		}
 		if !sleep(ctx, pause) {
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -154,7 +154,7 @@
 			isBusy = r.leader.WantsHosts(now) || err != nil
 		})
 		if err != nil {
-			r.config.Journal.Note("hosts not read", "error", err.Error())
+			r.config.Journal.Info("hosts not read", "error", err.Error())
 		} else {
 			r.kick()
 		}
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -24,7 +24,7 @@
 			metrics.GetOrCreateHistogram("leader_load_seconds").UpdateDuration(started)
 			return true
 		}
-		r.config.Journal.Note("rows not loaded", "error", err.Error())
+		r.config.Journal.Info("rows not loaded", "error", err.Error())
 		if !sleep(r.ctx, loadRetry) {
 			return false
 		}
@@ -101,7 +101,7 @@
 	for _, row := range rows {
 		change, err := record.Decode[record.Change](row.Value)
 		if err != nil {
-			r.config.Journal.Note("change not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+			r.config.Journal.Info("change not readable", "key", row.Key, "version", row.Version, "error", err.Error())
 			// As if it had been just now.
 			change.At = time.Now().Round(0)
 		}
@@ -119,7 +119,7 @@
 	for _, row := range rows {
 		submission, err := job.DecodeSubmission(row.Value)
 		if err != nil {
-			r.config.Journal.Note("job not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+			r.config.Journal.Info("job not readable", "key", row.Key, "version", row.Version, "error", err.Error())
 			continue
 		}
 		stored[submission.ID] = &fleet.Stored{Submission: submission}
@@ -139,7 +139,7 @@
 	}
 	progress := job.NewProgress()
 	if err := progress.UnmarshalJSON(row.Value); err != nil {
-		r.config.Journal.Note("progress not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+		r.config.Journal.Info("progress not readable", "key", row.Key, "version", row.Version, "error", err.Error())
 		return
 	}
 	entry.Progress = progress
@@ -156,7 +156,7 @@
 		wave, err := record.Decode[record.Wave](row.Value)
 		number, ok := waveNumber(row.Key)
 		if err != nil || !ok {
-			r.config.Journal.Note("wave not readable", "key", row.Key, "version", row.Version)
+			r.config.Journal.Info("wave not readable", "key", row.Key, "version", row.Version)
 			continue
 		}
 		waves[number] = wave
@@ -178,7 +178,7 @@
 		case id := <-r.lookups:
 			stored, err := r.readJob(ctx, id)
 			if err != nil {
-				r.config.Journal.Note("job not looked up", "job", id, "error", err.Error())
+				r.config.Journal.Info("job not looked up", "job", id, "error", err.Error())
 				continue
 			}
 			now := time.Now()
--- a/internal/control/reign.go
+++ b/internal/control/reign.go
@@ -177,7 +177,7 @@
 	}
 	submission, err := job.DecodeSubmission(change.Row.Value)
 	if err != nil {
-		r.config.Journal.Note("job not readable", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
+		r.config.Journal.Info("job not readable", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
 		return
 	}
 	r.accept(submission)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -31,8 +31,8 @@
 
 // Journal takes the decisions that explain what became of a request.
 type Journal interface {
-	// Note records one decision, with pairs of names and values.
-	Note(event string, fields ...any)
+	// Info logs one decision, with alternating names and values.
+	Info(event string, fields ...any)
 }
 
 // Config is what a Leader is built from.
--- a/internal/fleet/jobstate.go
+++ b/internal/fleet/jobstate.go
@@ -273,6 +273,6 @@
 // note writes to the journal.
 func (l *Leader) note(event string, fields ...any) {
 	if l.config.Journal != nil {
-		l.config.Journal.Note(event, fields...)
+		l.config.Journal.Info(event, fields...)
 	}
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -74,7 +74,7 @@
 
 // Journal takes decisions.
 type Journal interface {
-	Note(event string, fields ...any)
+	Info(event string, fields ...any)
 }
 
 // Config is what an Ingress is built from.
@@ -145,7 +145,7 @@
 	}
 	w.WriteHeader(answer.status)
 	if _, err := w.Write(answer.body); err != nil {
-		i.config.Journal.Note("answer not delivered", "path", r.URL.Path, "error", err.Error())
+		i.config.Journal.Info("answer not delivered", "path", r.URL.Path, "error", err.Error())
 	}
 }
 
@@ -322,7 +322,7 @@
 	if isRead {
 		return
 	}
-	i.config.Journal.Note("request answered", "request-id", id, "queue", queue, "method", r.Method, "status", answer.status,
+	i.config.Journal.Info("request answered", "request-id", id, "queue", queue, "method", r.Method, "status", answer.status,
 		"reason", answer.reason, "configuration", version, "took", took.Round(100*time.Microsecond).String())
 }
 
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -77,7 +77,7 @@
 
 type silent struct{}
 
-func (silent) Note(string, ...any) {}
+func (silent) Info(string, ...any) {}
 
 type holder struct{ current *policy.Policy }
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,15 +1,14 @@
-// Package journal writes the decisions of a process to its log: one line each,
-// without ever blocking, and within a budget of lines a second.
+// Package journal is the rate-limited, non-blocking JSON log of a process.
 //
 // # Usage
 //
 //	lines := journal.New(journal.Config{Writer: os.Stdout, Fields: []any{"process", name}})
 //	go lines.Run(ctx)
-//	lines.Note("request refused", "request-id", id, "reason", reason)
+//	lines.Info("request refused", "request-id", id, "reason", reason)
 //
-// Each kind of event has a budget a second; what is beyond it is counted, and
-// the next second's first line says how many lines of which kind are missing.
-// A line for which the buffer has no room is dropped and counted too.
+// Each event (message) has a limit of lines per second. Lines beyond it are
+// omitted and counted; the first lines of the next second report the counts.
+// A line that finds the buffer full is dropped and counted in a metric.
 package journal
 
 import (
@@ -29,13 +28,13 @@
 )
 
 const (
-	// linesPerKind is how many lines of one kind are written in a second: the
-	// busiest of today's deployments starts some 300 tasks in one.
-	linesPerKind = 400
-	// bufferedLines is how many lines wait for the writer.
-	bufferedLines = 4096
-	// stopWait bounds the writing of what is buffered at the end.
-	stopWait = 300 * time.Millisecond
+	// maxLinesPerKind limits the lines per event and second; the busiest
+	// deployment starts about 300 tasks per second.
+	maxLinesPerKind = 400
+	// lineBufferSize is the capacity of the queue between loggers and Run, in lines.
+	lineBufferSize = 4096
+	// drainTimeout bounds the writing of queued lines after the context ends.
+	drainTimeout = 300 * time.Millisecond
 )
 
 // Config configures a journal.
@@ -43,7 +42,7 @@
 	Writer io.Writer
 	// Level is debug, info, warn or error; anything else means info.
 	Level string
-	// Fields stand on every line, as pairs of name and value.
+	// Fields are added to every line, as alternating names and values.
 	Fields []any
 }
 
@@ -53,24 +52,24 @@
 	lines   chan []byte
 	dropped *metrics.Counter
 
-	mu      sync.Mutex
-	buffer  bytes.Buffer
-	logger  *log.Logger
-	second  int64
-	written map[string]int
+	mu         sync.Mutex
+	buffer     bytes.Buffer
+	logger     *log.Logger
+	second     int64
+	lineCounts map[string]int
 }
 
-// New returns a journal; nothing is written before Run.
+// New returns a journal. Lines are queued until Run is called.
 func New(config Config) *Journal {
 	j := &Journal{
-		config: config, lines: make(chan []byte, bufferedLines), written: map[string]int{},
+		config: config, lines: make(chan []byte, lineBufferSize), lineCounts: map[string]int{},
 		dropped: metrics.GetOrCreateCounter("journal_lines_dropped_total"),
 	}
 	j.logger = logging.New(logging.Config{Writer: &j.buffer, Format: settings.LogJSON, Level: config.Level, Fields: config.Fields})
 	return j
 }
 
-// Run writes lines until ctx ends, and then what is left.
+// Run writes lines until ctx ends, then the lines that are still queued.
 func (j *Journal) Run(ctx context.Context) {
 	for {
 		select {
@@ -83,16 +82,16 @@
 	}
 }
 
-// write passes a line on. A writer that fails loses lines, and nothing else.
+// write writes a line; a write error only counts the line as dropped.
 func (j *Journal) write(line []byte) {
 	if _, err := j.config.Writer.Write(line); err != nil {
 		j.dropped.Inc()
 	}
 }
 
-// drain writes what is buffered, for a bounded time.
+// drain writes the queued lines for at most drainTimeout.
 func (j *Journal) drain() {
-	end := time.Now().Add(stopWait)
+	end := time.Now().Add(drainTimeout)
 	for time.Now().Before(end) {
 		select {
 		case line := <-j.lines:
@@ -103,41 +102,41 @@
 	}
 }
 
-// Note writes one line.
-func (j *Journal) Note(event string, fields ...any) {
-	j.add(log.InfoLevel, event, fields)
+// Info logs an event at level info; fields are alternating names and values.
+func (j *Journal) Info(event string, fields ...any) {
+	j.logLine(log.InfoLevel, event, fields)
 }
 
-// Warn writes one line about something that should not be.
+// Warn logs an event at level warn, for conditions that should not occur.
 func (j *Journal) Warn(event string, fields ...any) {
-	j.add(log.WarnLevel, event, fields)
+	j.logLine(log.WarnLevel, event, fields)
 }
 
-func (j *Journal) add(level log.Level, event string, fields []any) {
+func (j *Journal) logLine(level log.Level, event string, fields []any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if second := time.Now().Unix(); second != j.second {
 		j.second = second
 		j.reportOmitted()
 	}
-	j.written[event]++
-	if j.written[event] > linesPerKind {
+	j.lineCounts[event]++
+	if j.lineCounts[event] > maxLinesPerKind {
 		return
 	}
 	j.emit(level, event, fields)
 }
 
-// reportOmitted says what the last second's budget left out.
+// reportOmitted logs how many lines of each event the last second omitted.
 func (j *Journal) reportOmitted() {
-	for _, kind := range slices.Sorted(maps.Keys(j.written)) {
-		if omitted := j.written[kind] - linesPerKind; omitted > 0 {
+	for _, kind := range slices.Sorted(maps.Keys(j.lineCounts)) {
+		if omitted := j.lineCounts[kind] - maxLinesPerKind; omitted > 0 {
 			j.emit(log.WarnLevel, "lines omitted", []any{"kind", kind, "count", omitted})
 		}
 	}
-	clear(j.written)
+	clear(j.lineCounts)
 }
 
-// emit formats a line and hands it to the writer.
+// emit formats a line and queues it for Run.
 func (j *Journal) emit(level log.Level, event string, fields []any) {
 	j.buffer.Reset()
 	j.logger.Log(level, event, fields...)
--- a/internal/member/fleetclient.go
+++ b/internal/member/fleetclient.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if _, err := peer.Accept(ctx, &memberpb.AcceptRequest{Submissions: submissions}); err != nil {
-		f.node.config.Journal.Note("leader not told of jobs", "jobs", len(submissions), "error", err.Error())
+		f.node.config.Journal.Info("leader not told of jobs", "jobs", len(submissions), "error", err.Error())
 	}
 }
 
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	if _, err := peer.Cancel(ctx, &memberpb.CancelRequest{Id: string(id)}); err != nil {
-		f.node.config.Journal.Note("leader not told of a cancel", "request-id", id, "error", err.Error())
+		f.node.config.Journal.Info("leader not told of a cancel", "request-id", id, "error", err.Error())
 	}
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -24,7 +24,7 @@
 
 type silent struct{}
 
-func (silent) Note(string, ...any) {}
+func (silent) Info(string, ...any) {}
 
 type noFleet struct{}
 
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -44,7 +44,7 @@
 
 // Journal takes what a process comes to believe.
 type Journal interface {
-	Note(event string, fields ...any)
+	Info(event string, fields ...any)
 }
 
 // Config is what a Node is built from.
--- a/internal/policy/holder.go
+++ b/internal/policy/holder.go
@@ -7,7 +7,7 @@
 
 // Journal takes what the holder comes to believe.
 type Journal interface {
-	Note(event string, fields ...any)
+	Info(event string, fields ...any)
 }
 
 // HolderConfig configures a holder.
@@ -56,7 +56,7 @@
 	}
 	offered, err := h.config.Decode(value)
 	if err != nil {
-		h.config.Journal.Note("configuration not readable", "source", source, "error", err.Error())
+		h.config.Journal.Info("configuration not readable", "source", source, "error", err.Error())
 		return
 	}
 	h.mu.Lock()
@@ -66,7 +66,7 @@
 	}
 	h.value = value
 	h.current.Store(offered)
-	h.config.Journal.Note("configuration in force", "version", offered.Version, "source", source,
+	h.config.Journal.Info("configuration in force", "version", offered.Version, "source", source,
 		"queues", len(offered.Queues), "accounts", len(offered.Accounts))
 	h.config.Changed(offered, source == SourceStore)
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -44,7 +44,7 @@
 
 type silent struct{}
 
-func (silent) Note(string, ...any) {}
+func (silent) Info(string, ...any) {}
 
 func TestHolderNeverGoesBack(t *testing.T) {
 	var changes []uint64
