--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -11,20 +11,20 @@
 )
 
 // batchLoop writes the leader's rows and renews its claim.
-func (r *reign) batchLoop(ctx context.Context) {
+func (t *term) batchLoop(ctx context.Context) {
 	renewed := time.Now()
 	for {
-		timer := time.NewTimer(max(0, renewEvery-time.Since(renewed)))
+		timer := time.NewTimer(max(0, renewInterval-time.Since(renewed)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-r.dirty:
+		case <-t.wakeBatch:
 		case <-timer.C:
 		}
 		timer.Stop()
-		due := time.Since(renewed) >= renewEvery
-		if r.writeNext(ctx, due) && due {
+		isDue := time.Since(renewed) >= renewInterval
+		if t.writeNext(ctx, isDue) && isDue {
 			renewed = time.Now()
 		}
 		if !sleep(ctx, batchPause) {
@@ -35,15 +35,15 @@
 
 // writeNext writes the next batch, and the renewal if it is due. It reports
 // whether the store has taken both.
-func (r *reign) writeNext(ctx context.Context, renew bool) bool {
+func (t *term) writeNext(ctx context.Context, renew bool) bool {
 	var batch fleet.Batch
 	var waves []fleet.WaveNews
-	hasNews := false
-	r.locked(func() {
-		batch, hasNews = r.leader.NextBatch()
-		waves = r.leader.WaveNews()
+	hasBatch := false
+	t.locked(func() {
+		batch, hasBatch = t.leader.NextBatch()
+		waves = t.leader.WaveNews()
 	})
-	if !hasNews && len(waves) == 0 && !renew {
+	if !hasBatch && len(waves) == 0 && !renew {
 		return true
 	}
 	var txn table.Txn
@@ -55,35 +55,35 @@
 		txn.Writes = append(txn.Writes, table.Write{Key: record.WaveKey(wave.Number), Value: record.Encode(row)})
 	}
 	if renew {
-		txn.Writes = append(txn.Writes, table.Write{Key: record.RenewalKey, Value: record.Encode(r.claim)})
+		txn.Writes = append(txn.Writes, table.Write{Key: record.RenewalKey, Value: record.Encode(t.claim)})
 	}
-	if !r.writer.commit(ctx, txn, len(txn.Writes) > 1 || !renew) {
+	if !t.writer.commit(ctx, txn, len(txn.Writes) > 1 || !renew) {
 		return false
 	}
-	r.tellWaves(ctx, waves)
-	if hasNews {
-		r.locked(func() { r.leader.BatchWritten(batch, time.Now()) })
-		r.wakeEndpoints()
-		r.kick()
+	t.writeWaveStatus(ctx, waves)
+	if hasBatch {
+		t.locked(func() { t.leader.BatchWritten(batch, time.Now()) })
+		t.wakeEndpoints()
+		t.wake()
 	}
 	return true
 }
 
 // tellWaves writes the rows in which operators read the waves' states.
-func (r *reign) tellWaves(ctx context.Context, waves []fleet.WaveNews) {
+func (t *term) writeWaveStatus(ctx context.Context, waves []fleet.WaveNews) {
 	for _, wave := range waves {
 		txn := table.Txn{Writes: []table.Write{{
-			Key: r.config.WaveStatus.Key(wave.Number), Value: r.config.WaveStatus.Encode(wave.Number, wave.Complete),
+			Key: t.config.WaveStatus.Key(wave.Number), Value: t.config.WaveStatus.Encode(wave.Number, wave.Complete),
 		}}}
 		if !wave.Complete {
 			// Written once: done late, it must not replace the wave's end.
 			txn.Conditions = []table.Condition{{Key: txn.Writes[0].Key, Version: table.Absent}}
 		}
 		for ctx.Err() == nil {
-			if err := r.config.Store.Commit(ctx, txn); err == nil || table.IsConflict(err) {
+			if err := t.config.Store.Commit(ctx, txn); err == nil || table.IsConflict(err) {
 				break
 			}
-			if !sleep(ctx, batchRetry) {
+			if !sleep(ctx, commitRetryDelay) {
 				return
 			}
 		}
@@ -91,19 +91,19 @@
 }
 
 // forgetLoop removes the rows of jobs that ended long ago.
-func (r *reign) forgetLoop(ctx context.Context) {
-	for sleep(ctx, forgetEvery) {
+func (t *term) cleanupLoop(ctx context.Context) {
+	for sleep(ctx, cleanupInterval) {
 		var ids []job.ID
-		r.locked(func() { ids = r.leader.Forgettable(time.Now(), forgetMost) })
-		if len(ids) > 0 && r.removeRows(ctx, ids) {
-			r.locked(func() { r.leader.Forget(ids) })
+		t.locked(func() { ids = t.leader.Forgettable(time.Now(), maxCleanupJobs) })
+		if len(ids) > 0 && t.deleteRows(ctx, ids) {
+			t.locked(func() { t.leader.Forget(ids) })
 		}
 	}
 }
 
 // removeRows removes jobs before their progress: progress without a job means
 // nothing, but a job without its progress would run again.
-func (r *reign) removeRows(ctx context.Context, ids []job.ID) bool {
+func (t *term) deleteRows(ctx context.Context, ids []job.ID) bool {
 	byShard := map[int][]table.Write{}
 	var progress table.Txn
 	for _, id := range ids {
@@ -113,10 +113,10 @@
 		progress.Writes = append(progress.Writes, table.Write{Key: record.ProgressKey(id), Delete: true})
 	}
 	for _, writes := range byShard {
-		if err := r.config.Store.Commit(ctx, table.Txn{Writes: writes}); err != nil {
-			r.config.Journal.Info("old rows not removed", "rows", len(writes), "error", err.Error())
+		if err := t.config.Store.Commit(ctx, table.Txn{Writes: writes}); err != nil {
+			t.config.Journal.Info("old rows not removed", "rows", len(writes), "error", err.Error())
 			return false
 		}
 	}
-	return r.writer.commit(ctx, progress, false)
+	return t.writer.commit(ctx, progress, false)
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,8 +16,8 @@
 type Endpoints interface {
 	Start(ctx context.Context, to fleet.EndpointAddress, token uint64, start fleet.Start) fleet.Reply
 	Stop(ctx context.Context, to fleet.EndpointAddress, token uint64, stop fleet.Stop) fleet.Reply
-	Pace(ctx context.Context, to fleet.EndpointAddress, token uint64, pace fleet.Pace) fleet.Reply
-	Look(ctx context.Context, to fleet.EndpointAddress, token uint64, hold fleet.Hold) (fleet.Look, fleet.Reply)
+	Throttle(ctx context.Context, to fleet.EndpointAddress, token uint64, pace fleet.Pace) fleet.Reply
+	RenewLease(ctx context.Context, to fleet.EndpointAddress, token uint64, hold fleet.Hold) (fleet.Look, fleet.Reply)
 }
 
 // EndpointList is the platform's list of endpoints.
@@ -30,7 +30,7 @@
 type Hosts interface {
 	List(ctx context.Context) ([]fleet.Host, error)
 	Move(ctx context.Context, token uint64, host fleet.HostID, pool string) fleet.ChangeOutcome
-	Upkeep(ctx context.Context, token uint64, host fleet.HostID, wave int64) fleet.ChangeOutcome
+	StartMaintenance(ctx context.Context, token uint64, host fleet.HostID, wave int64) fleet.ChangeOutcome
 }
 
 // Advice names the endpoints that may run a step.
@@ -70,9 +70,9 @@
 	// Lost is called when a leadership turns out to be over.
 	Lost func(token uint64, why string)
 	// Followed returns when most of the other processes last said that we lead.
-	Followed func() time.Time
+	MajorityConfirmedAt func() time.Time
 	// StoreAnswered is told how each call of the feeds ended.
-	StoreAnswered func(err error)
+	ObserveStore func(err error)
 }
 
 // Control is the fleet's part of a process, which may or may not lead.
@@ -82,20 +82,20 @@
 	mu     sync.Mutex
 	policy *policy.Policy
 	waves  map[int64]fleet.WaveRow
-	reign  *reign
-	reigns chan *reign
+	term   *term
+	terms  chan *term
 }
 
 // New returns a part that does not lead.
 func New(config Config) *Control {
-	return &Control{config: config, waves: map[int64]fleet.WaveRow{}, reigns: make(chan *reign, 1)}
+	return &Control{config: config, waves: map[int64]fleet.WaveRow{}, terms: make(chan *term, 1)}
 }
 
 // Lead starts a leadership that ends with ctx.
 func (c *Control) Lead(ctx context.Context, claim record.Claim, version uint64) {
-	r := newReign(ctx, c, claim, version)
+	t := newTerm(ctx, c, claim, version)
 	select {
-	case c.reigns <- r:
+	case c.terms <- t:
 	default:
 		// Two leaderships at once: the older one has ended, and Run is about to see it.
 		c.config.Lost(claim.Token, "the process is still ending an earlier leadership")
@@ -108,13 +108,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-c.reigns:
+		case t := <-c.terms:
 			c.mu.Lock()
-			c.reign = r
+			c.term = t
 			c.mu.Unlock()
-			r.run()
+			t.run()
 			c.mu.Lock()
-			c.reign = nil
+			c.term = nil
 			c.mu.Unlock()
 		}
 	}
@@ -124,10 +124,10 @@
 func (c *Control) SetPolicy(current *policy.Policy) {
 	c.mu.Lock()
 	c.policy = current
-	r := c.reign
+	t := c.term
 	c.mu.Unlock()
-	if r != nil {
-		r.setPolicy(current)
+	if t != nil {
+		t.setPolicy(current)
 	}
 }
 
@@ -135,21 +135,21 @@
 func (c *Control) SetWave(wave fleet.WaveRow) {
 	c.mu.Lock()
 	c.waves[wave.Number] = wave
-	r := c.reign
+	t := c.term
 	c.mu.Unlock()
-	if r != nil {
-		r.setWave(wave)
+	if t != nil {
+		t.setWave(wave)
 	}
 }
 
 // current returns the leadership if it knows all jobs.
-func (c *Control) current() *reign {
+func (c *Control) current() *term {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reign == nil || !c.reign.isLoaded() {
+	if c.term == nil || !c.term.isLoaded() {
 		return nil
 	}
-	return c.reign
+	return c.term
 }
 
 // Leading implements member.Fleet.
@@ -159,8 +159,8 @@
 
 // Accept implements member.Fleet.
 func (c *Control) Accept(submissions [][]byte) bool {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return false
 	}
 	for _, value := range submissions {
@@ -169,62 +169,62 @@
 			c.config.Journal.Info("job not readable", "error", err.Error())
 			continue
 		}
-		r.accept(submission)
+		t.accept(submission)
 	}
 	return true
 }
 
 // Cancel implements member.Fleet.
 func (c *Control) Cancel(id job.ID) bool {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return false
 	}
-	r.cancelled(id)
+	t.cancel(id)
 	return true
 }
 
 // State implements member.Fleet.
 func (c *Control) State(id job.ID) (job.State, bool) {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return "", false
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leader.StateOf(id)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leader.StateOf(id)
 }
 
 // Largest returns the most that one host has of each resource, or zeros
 // while this process does not lead.
-func (c *Control) Largest() policy.Resources {
-	r := c.current()
-	if r == nil {
+func (c *Control) MaxHostResources() policy.Resources {
+	t := c.current()
+	if t == nil {
 		return policy.Resources{}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leader.Largest()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leader.Largest()
 }
 
 // Waiting implements member.Fleet.
 func (c *Control) Waiting() map[string]int {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leader.Waiting()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leader.Waiting()
 }
 
 // Dump returns the leader's state for operators, or nil if this process does not lead.
 func (c *Control) Dump() any {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leader.Dump()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leader.Dump()
 }
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -11,27 +11,27 @@
 
 const (
 	// orderSenders is how many orders are under way to one endpoint at a time.
-	orderSenders = 3
+	sendersPerEndpoint = 3
 	// pendingOrders is how many orders wait for one endpoint.
-	pendingOrders = 256
+	orderQueueSize = 256
 	// lookPause is the time before an endpoint is asked again that did not answer.
-	lookPause = 150 * time.Millisecond
+	renewRetryDelay = 150 * time.Millisecond
 	// idlePause is the longest time between two checks whether a look is due.
-	idlePause = 500 * time.Millisecond
+	maxRenewWait = 500 * time.Millisecond
 	// endsPause gathers ends: an endpoint with many short tasks would answer each one alone.
-	endsPause = 15 * time.Millisecond
+	completionBatchDelay = 15 * time.Millisecond
 )
 
 // order is one order to an endpoint; one field is set.
 type order struct {
-	start *fleet.Start
-	stop  *fleet.Stop
-	pace  *fleet.Pace
+	start    *fleet.Start
+	stop     *fleet.Stop
+	throttle *fleet.Pace
 }
 
 // endpointWorker speaks with one endpoint.
-type endpointWorker struct {
-	reign  *reign
+type endpointSession struct {
+	term   *term
 	id     fleet.EndpointID
 	orders chan order
 	wake   chan struct{}
@@ -42,36 +42,36 @@
 
 // syncWorkers starts workers for new endpoints and ends those of forgotten ones;
 // r.mu is held.
-func (r *reign) syncWorkers() {
+func (t *term) syncSessions() {
 	known := map[fleet.EndpointID]bool{}
-	for _, id := range r.leader.EndpointIDs() {
+	for _, id := range t.leader.EndpointIDs() {
 		known[id] = true
-		if r.endpoints[id] == nil {
-			r.startWorker(id)
+		if t.sessions[id] == nil {
+			t.startSession(id)
 		}
 	}
-	for id, worker := range r.endpoints {
+	for id, session := range t.sessions {
 		if !known[id] {
-			worker.cancel()
-			delete(r.endpoints, id)
+			session.cancel()
+			delete(t.sessions, id)
 		}
 	}
 }
 
 // startWorker starts the loops for one endpoint.
-func (r *reign) startWorker(id fleet.EndpointID) {
-	ctx, cancel := context.WithCancel(r.ctx)
-	worker := &endpointWorker{reign: r, id: id, ctx: ctx, orders: make(chan order, pendingOrders), wake: make(chan struct{}, 1), cancel: cancel}
-	r.endpoints[id] = worker
-	r.group.Go(func(groupCtx context.Context) { worker.run(groupCtx, worker.lookLoop) })
-	for range orderSenders {
-		r.group.Go(func(groupCtx context.Context) { worker.run(groupCtx, worker.orderLoop) })
+func (t *term) startSession(id fleet.EndpointID) {
+	ctx, cancel := context.WithCancel(t.ctx)
+	session := &endpointSession{term: t, id: id, ctx: ctx, orders: make(chan order, orderQueueSize), wake: make(chan struct{}, 1), cancel: cancel}
+	t.sessions[id] = session
+	t.group.Go(func(groupCtx context.Context) { session.run(groupCtx, session.renewLoop) })
+	for range sendersPerEndpoint {
+		t.group.Go(func(groupCtx context.Context) { session.run(groupCtx, session.orderLoop) })
 	}
 }
 
 // run runs a loop until the endpoint is forgotten, the leadership ends, or another
 // loop of the group has found a broken invariant.
-func (w *endpointWorker) run(groupCtx context.Context, loop func(ctx context.Context)) {
+func (w *endpointSession) run(groupCtx context.Context, loop func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(groupCtx)
 	defer cancel()
 	stop := context.AfterFunc(w.ctx, cancel)
@@ -81,107 +81,107 @@
 
 // send queues an order; r.mu is held. An order without a place in the queue
 // was not sent.
-func (r *reign) send(worker *endpointWorker, next order) {
-	if worker != nil {
+func (t *term) queueOrder(session *endpointSession, next order) {
+	if session != nil {
 		select {
-		case worker.orders <- next:
-			signal(worker.wake)
+		case session.orders <- next:
+			signal(session.wake)
 			return
 		default:
 		}
 	}
 	if next.start != nil {
-		r.leader.StartAnswered(*next.start, fleet.Reply{Outcome: fleet.OrderUnsent}, time.Now())
+		t.leader.StartAnswered(*next.start, fleet.Reply{Outcome: fleet.OrderUnsent}, time.Now())
 	}
 }
 
 // wakeEndpoints lets the workers look whether ends can be acknowledged.
-func (r *reign) wakeEndpoints() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, worker := range r.endpoints {
-		signal(worker.wake)
+func (t *term) wakeEndpoints() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, session := range t.sessions {
+		signal(session.wake)
 	}
 }
 
 // address returns where the endpoint is.
-func (w *endpointWorker) address() (fleet.EndpointAddress, bool) {
-	w.reign.mu.Lock()
-	defer w.reign.mu.Unlock()
-	return w.reign.leader.AddressOf(w.id)
+func (w *endpointSession) address() (fleet.EndpointAddress, bool) {
+	w.term.mu.Lock()
+	defer w.term.mu.Unlock()
+	return w.term.leader.AddressOf(w.id)
 }
 
 // orderLoop sends orders one after the other.
-func (w *endpointWorker) orderLoop(ctx context.Context) {
+func (w *endpointSession) orderLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case next := <-w.orders:
-			w.carryOut(ctx, next)
+			w.execute(ctx, next)
 		}
 	}
 }
 
 // carryOut sends an order and reports its outcome.
-func (w *endpointWorker) carryOut(ctx context.Context, next order) {
-	r := w.reign
+func (w *endpointSession) execute(ctx context.Context, next order) {
+	t := w.term
 	to, ok := w.address()
 	reply := fleet.Reply{Outcome: fleet.OrderUnsent}
 	kind := "pace"
-	isOurs := true
+	isLeader := true
 	switch {
 	case next.start != nil:
 		kind = "start"
 		if ok {
-			reply = r.config.Endpoints.Start(ctx, to, r.claim.Token, *next.start)
+			reply = t.config.Endpoints.Start(ctx, to, t.claim.Token, *next.start)
 		}
-		r.locked(func() {
-			isOurs = r.leader.StartAnswered(*next.start, reply, time.Now())
+		t.locked(func() {
+			isLeader = t.leader.StartAnswered(*next.start, reply, time.Now())
 		})
 	case next.stop != nil:
 		kind = "stop"
 		if ok {
-			reply = r.config.Endpoints.Stop(ctx, to, r.claim.Token, *next.stop)
+			reply = t.config.Endpoints.Stop(ctx, to, t.claim.Token, *next.stop)
 		}
-		r.locked(func() {
-			isOurs = r.leader.StopAnswered(*next.stop, reply, time.Now())
+		t.locked(func() {
+			isLeader = t.leader.StopAnswered(*next.stop, reply, time.Now())
 		})
 	default:
 		if ok {
-			reply = r.config.Endpoints.Pace(ctx, to, r.claim.Token, *next.pace)
+			reply = t.config.Endpoints.Throttle(ctx, to, t.claim.Token, *next.throttle)
 		}
 	}
 	metrics.GetOrCreateCounter(`orders_total{kind="` + kind + `",outcome="` + string(reply.Outcome) + `"}`).Inc()
-	if !isOurs {
-		r.config.Lost(r.claim.Token, "an endpoint knows a later leader")
+	if !isLeader {
+		t.config.Lost(t.claim.Token, "an endpoint knows a later leader")
 	}
 	if reply.Outcome != fleet.OrderTaken {
 		signal(w.wake)
-		r.kick()
+		t.wake()
 	}
 }
 
 // lookLoop looks at the endpoint whenever the leader wants it.
-func (w *endpointWorker) lookLoop(ctx context.Context) {
+func (w *endpointSession) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		var hold fleet.Hold
-		due := false
-		w.reign.locked(func() {
-			hold, due = w.reign.leader.NextLook(w.id, time.Now())
+		var renewal fleet.Hold
+		isDue := false
+		w.term.locked(func() {
+			renewal, isDue = w.term.leader.NextLook(w.id, time.Now())
 		})
-		if !due {
-			w.rest(ctx, idlePause)
+		if !isDue {
+			w.waitForWake(ctx, maxRenewWait)
 			continue
 		}
-		if !w.look(ctx, hold) {
-			sleep(ctx, lookPause)
+		if !w.renewLease(ctx, renewal) {
+			sleep(ctx, renewRetryDelay)
 		}
 	}
 }
 
 // rest waits until something has changed, or for a while.
-func (w *endpointWorker) rest(ctx context.Context, d time.Duration) {
+func (w *endpointSession) waitForWake(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -192,32 +192,32 @@
 }
 
 // look makes one look. It reports whether the endpoint answered.
-func (w *endpointWorker) look(ctx context.Context, hold fleet.Hold) bool {
-	r := w.reign
+func (w *endpointSession) renewLease(ctx context.Context, renewal fleet.Hold) bool {
+	t := w.term
 	to, ok := w.address()
 	if !ok {
 		return false
 	}
 	sentAt := time.Now()
-	look, reply := r.config.Endpoints.Look(ctx, to, r.claim.Token, hold)
+	report, reply := t.config.Endpoints.RenewLease(ctx, to, t.claim.Token, renewal)
 	if ctx.Err() != nil {
 		return false
 	}
 	now := time.Now()
 	metrics.GetOrCreateCounter(`orders_total{kind="look",outcome="` + string(reply.Outcome) + `"}`).Inc()
-	r.locked(func() {
+	t.locked(func() {
 		if reply.Outcome == fleet.OrderTaken {
-			r.leader.Looked(w.id, hold, sentAt, look, now)
+			t.leader.Looked(w.id, renewal, sentAt, report, now)
 		} else {
-			r.leader.LookFailed(w.id, reply, now)
+			t.leader.LookFailed(w.id, reply, now)
 		}
 	})
-	r.kick()
+	t.wake()
 	if reply.Outcome == fleet.OrderFenced {
-		r.config.Lost(r.claim.Token, "an endpoint knows a later leader")
+		t.config.Lost(t.claim.Token, "an endpoint knows a later leader")
 	}
-	if len(look.Ended) > 0 {
-		sleep(ctx, endsPause)
+	if len(report.Ended) > 0 {
+		sleep(ctx, completionBatchDelay)
 	}
 	return reply.Outcome == fleet.OrderTaken
 }
--- a/internal/control/feeds.go
+++ b/internal/control/feeds.go
@@ -15,15 +15,15 @@
 const (
 	// endpointFeedPause is the time between two answers of the endpoints' feed: each endpoint
 	// writes every second or two, and each answer is charged.
-	endpointFeedPause = 400 * time.Millisecond
+	endpointFeedInterval = 400 * time.Millisecond
 	// endpointFeedQuick is the same while a host is about to be back.
-	endpointFeedQuick = 60 * time.Millisecond
+	busyEndpointFeedInterval = 60 * time.Millisecond
 	// rowFeedPause is the same for jobs, which their ingress tells us of directly.
-	rowFeedPause = 700 * time.Millisecond
+	rowFeedInterval = 700 * time.Millisecond
 	// feedWait is how long the store may wait for a change.
-	feedWait = 2 * time.Second
+	feedTimeout = 2 * time.Second
 	// feedRetry is the time before a feed that failed is asked again.
-	feedRetry = 200 * time.Millisecond
+	feedRetryDelay = 200 * time.Millisecond
 )
 
 func parseNumber(text string) (int64, bool) {
@@ -32,26 +32,26 @@
 }
 
 // endpointFeed follows the platform's list of endpoints.
-func (r *reign) endpointFeed(ctx context.Context) {
+func (t *term) endpointFeed(ctx context.Context) {
 	version, known := uint64(0), false
 	for ctx.Err() == nil {
 		var err error
 		if known {
-			version, err = r.followEndpoints(ctx, version)
+			version, err = t.followEndpoints(ctx, version)
 		} else {
-			version, err = r.listEndpoints(ctx)
+			version, err = t.listEndpoints(ctx)
 		}
-		r.config.StoreAnswered(err)
+		t.config.ObserveStore(err)
 		known = err == nil || known && !errors.Is(err, table.ErrHistoryLost)
-		pause := endpointFeedPause
-		r.locked(func() {
-			if r.leader.HostsChanging(time.Now()) {
-				pause = endpointFeedQuick
+		pause := endpointFeedInterval
+		t.locked(func() {
+			if t.leader.HostsChanging(time.Now()) {
+				pause = busyEndpointFeedInterval
 			}
 		})
 		if err != nil {
-			r.config.Journal.Info("endpoint list not read", "version", version, "error", err.Error())
-			pause = feedRetry
+			t.config.Journal.Info("endpoint list not read", "version", version, "error", err.Error())
+			pause = feedRetryDelay
 		}
 		if !sleep(ctx, pause) {
 			return
@@ -60,66 +60,66 @@
 }
 
 // listEndpoints reads the whole list.
-func (r *reign) listEndpoints(ctx context.Context) (uint64, error) {
-	endpoints, version, err := r.config.EndpointList.All(ctx)
+func (t *term) listEndpoints(ctx context.Context) (uint64, error) {
+	endpoints, version, err := t.config.EndpointList.All(ctx)
 	if err != nil {
 		return 0, err
 	}
 	now := time.Now()
-	r.locked(func() {
+	t.locked(func() {
 		listed := map[fleet.EndpointID]bool{}
 		for _, endpoint := range endpoints {
 			listed[endpoint.ID] = true
-			r.leader.EndpointListed(endpoint, now)
+			t.leader.EndpointListed(endpoint, now)
 		}
-		for _, id := range r.leader.EndpointIDs() {
+		for _, id := range t.leader.EndpointIDs() {
 			if !listed[id] {
-				r.leader.EndpointUnlisted(id, now)
+				t.leader.EndpointUnlisted(id, now)
 			}
 		}
 	})
-	r.kick()
+	t.wake()
 	return version, nil
 }
 
 // followEndpoints reads what has changed.
-func (r *reign) followEndpoints(ctx context.Context, after uint64) (uint64, error) {
-	listed, gone, next, err := r.config.EndpointList.Changes(ctx, after, feedWait)
+func (t *term) followEndpoints(ctx context.Context, after uint64) (uint64, error) {
+	listed, gone, next, err := t.config.EndpointList.Changes(ctx, after, feedTimeout)
 	if err != nil {
 		return after, err
 	}
 	now := time.Now()
-	r.locked(func() {
+	t.locked(func() {
 		for _, endpoint := range listed {
-			r.leader.EndpointListed(endpoint, now)
+			t.leader.EndpointListed(endpoint, now)
 		}
 		for _, id := range gone {
-			r.leader.EndpointUnlisted(id, now)
+			t.leader.EndpointUnlisted(id, now)
 		}
 	})
-	r.kick()
+	t.wake()
 	return next, nil
 }
 
 // rowFeed follows one of our tables; each change goes to take.
-func (r *reign) rowFeed(ctx context.Context, tableName string, take func(table.Change)) {
+func (t *term) rowFeed(ctx context.Context, tableName string, apply func(table.Change)) {
 	version, known := uint64(0), false
 	for ctx.Err() == nil {
 		var changes []table.Change
 		var err error
 		if known {
-			changes, version, err = r.config.Feed.Follow(ctx, tableName, version, feedWait)
+			changes, version, err = t.config.Feed.Follow(ctx, tableName, version, feedTimeout)
 		} else {
-			changes, version, err = r.scanAll(ctx, tableName)
+			changes, version, err = t.scanAll(ctx, tableName)
 		}
-		r.config.StoreAnswered(err)
+		t.config.ObserveStore(err)
 		for _, change := range changes {
-			take(change)
+			apply(change)
 		}
 		known = err == nil || known && !errors.Is(err, table.ErrHistoryLost)
-		pause := rowFeedPause
+		pause := rowFeedInterval
 		if err != nil {
-			pause = feedRetry
+			pause = feedRetryDelay
 		}
 		if !sleep(ctx, pause) {
 			return
@@ -129,7 +129,7 @@
 
 // scanAll reads all parts of a table, and the version to follow from: the
 // oldest of the parts', so that nothing is missed in between.
-func (r *reign) scanAll(ctx context.Context, tableName string) ([]table.Change, uint64, error) {
+func (t *term) scanAll(ctx context.Context, tableName string) ([]table.Change, uint64, error) {
 	var changes []table.Change
 	first := uint64(0)
 	for shard := range record.JobShards {
@@ -137,7 +137,7 @@
 		if tableName == record.CancelTable {
 			prefix = record.CancelPrefix(shard)
 		}
-		rows, version, err := r.config.Feed.ScanAt(ctx, prefix)
+		rows, version, err := t.config.Feed.ScanAt(ctx, prefix)
 		if err != nil {
 			return nil, 0, err
 		}
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -14,26 +14,26 @@
 
 const (
 	// hostOrders is how many changes of hosts wait; the platform takes some 60 a second.
-	hostOrders = 128
+	hostOrderQueueSize = 128
 	// changesAtOnce is how many changes are announced in one transaction, and
 	// hostCallers how many are under way at a time.
-	changesAtOnce = 40
-	hostCallers   = 6
+	maxChangesPerTxn = 40
+	maxHostCalls     = 6
 	// pendingAsks is how many questions wait for the advice service.
-	pendingAsks = 64
+	adviceQueueSize = 64
 	// adviceCallers is how many questions are under way: the service answers one
 	// at a time for each host, and refuses beyond 32 waiting ones.
-	adviceCallers = 4
+	adviceWorkers = 4
 	// hostsSlow and hostsQuick are the times between two readings of the
 	// hosts, without and with changes under way.
-	hostsSlow  = 4 * time.Second
-	hostsQuick = 300 * time.Millisecond
+	hostListInterval     = 4 * time.Second
+	busyHostListInterval = 300 * time.Millisecond
 )
 
 // hostOrder is a change of a host; one field is set.
 type hostOrder struct {
-	move   *fleet.Move
-	upkeep *fleet.Upkeep
+	move        *fleet.Move
+	maintenance *fleet.Upkeep
 }
 
 // host is the host that is changed.
@@ -41,56 +41,56 @@
 	if o.move != nil {
 		return o.move.Host
 	}
-	return o.upkeep.Host
+	return o.maintenance.Host
 }
 
 // sendHost queues a change; r.mu is held.
-func (r *reign) sendHost(next hostOrder) {
+func (t *term) queueHostOrder(next hostOrder) {
 	select {
-	case r.orders <- next:
+	case t.hostOrders <- next:
 	default:
-		r.hostAnswered(next, fleet.ChangeRefused)
+		t.reportHostChange(next, fleet.ChangeRefused)
 	}
 }
 
 // sendAsk queues a question; r.mu is held.
-func (r *reign) sendAsk(ask fleet.Ask) {
+func (t *term) queueAdviceQuery(query fleet.Ask) {
 	select {
-	case r.asks <- ask:
+	case t.adviceQueries <- query:
 	default:
-		r.leader.Advised(ask, fleet.Granted{}, false, time.Now())
+		t.leader.Advised(query, fleet.Granted{}, false, time.Now())
 	}
 }
 
 // hostAnswered reports an outcome; r.mu is held.
-func (r *reign) hostAnswered(done hostOrder, outcome fleet.ChangeOutcome) {
+func (t *term) reportHostChange(done hostOrder, outcome fleet.ChangeOutcome) {
 	now := time.Now()
 	if done.move != nil {
-		r.leader.MoveAnswered(*done.move, outcome, now)
+		t.leader.MoveAnswered(*done.move, outcome, now)
 		return
 	}
-	r.leader.UpkeepAnswered(*done.upkeep, outcome, now)
+	t.leader.UpkeepAnswered(*done.maintenance, outcome, now)
 }
 
 // hostLoop sends changes, after it has written which hosts they are for:
 // a leader that comes after this one has to know.
-func (r *reign) hostLoop(ctx context.Context) {
+func (t *term) hostLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-r.orders:
-			r.changeHosts(ctx, r.gatherChanges(first))
+		case first := <-t.hostOrders:
+			t.executeHostOrders(ctx, t.collectHostOrders(first))
 		}
 	}
 }
 
 // gatherChanges takes what waits, up to one transaction's size.
-func (r *reign) gatherChanges(first hostOrder) []hostOrder {
+func (t *term) collectHostOrders(first hostOrder) []hostOrder {
 	changes := []hostOrder{first}
-	for len(changes) < changesAtOnce {
+	for len(changes) < maxChangesPerTxn {
 		select {
-		case next := <-r.orders:
+		case next := <-t.hostOrders:
 			changes = append(changes, next)
 		default:
 			return changes
@@ -100,70 +100,70 @@
 }
 
 // changeHosts writes the intents and carries out the changes.
-func (r *reign) changeHosts(ctx context.Context, changes []hostOrder) {
+func (t *term) executeHostOrders(ctx context.Context, changes []hostOrder) {
 	var txn table.Txn
 	for _, next := range changes {
 		row := record.Change{At: time.Now().Round(0)}
 		txn.Writes = append(txn.Writes, table.Write{Key: record.ChangeKey(string(next.host())), Value: record.Encode(row)})
 	}
-	if !r.writer.commit(ctx, txn, false) {
-		r.locked(func() {
+	if !t.writer.commit(ctx, txn, false) {
+		t.locked(func() {
 			for _, next := range changes {
-				r.hostAnswered(next, fleet.ChangeRefused)
+				t.reportHostChange(next, fleet.ChangeRefused)
 			}
 		})
 		return
 	}
-	callers := pool.New().WithMaxGoroutines(hostCallers)
+	callers := pool.New().WithMaxGoroutines(maxHostCalls)
 	for _, next := range changes {
-		callers.Go(func() { r.changeHost(ctx, next) })
+		callers.Go(func() { t.executeHostOrder(ctx, next) })
 	}
 	callers.Wait()
 }
 
-func (r *reign) changeHost(ctx context.Context, next hostOrder) {
+func (t *term) executeHostOrder(ctx context.Context, next hostOrder) {
 	kind := "upkeep"
 	var outcome fleet.ChangeOutcome
 	if next.move != nil {
 		kind = "move"
-		outcome = r.config.Hosts.Move(ctx, r.claim.Token, next.move.Host, next.move.Pool)
+		outcome = t.config.Hosts.Move(ctx, t.claim.Token, next.move.Host, next.move.Pool)
 	} else {
-		outcome = r.config.Hosts.Upkeep(ctx, r.claim.Token, next.upkeep.Host, next.upkeep.Wave)
+		outcome = t.config.Hosts.StartMaintenance(ctx, t.claim.Token, next.maintenance.Host, next.maintenance.Wave)
 	}
 	metrics.GetOrCreateCounter(`host_changes_total{kind="` + kind + `",outcome="` + string(outcome) + `"}`).Inc()
-	r.locked(func() {
-		r.hostAnswered(next, outcome)
+	t.locked(func() {
+		t.reportHostChange(next, outcome)
 	})
 	if outcome == fleet.ChangeFenced {
-		r.config.Lost(r.claim.Token, "the host interface knows a later leader")
+		t.config.Lost(t.claim.Token, "the host interface knows a later leader")
 	}
-	r.kick()
+	t.wake()
 }
 
 // hostFeed reads the hosts, more often while changes are under way.
-func (r *reign) hostFeed(ctx context.Context) {
+func (t *term) hostFeed(ctx context.Context) {
 	for ctx.Err() == nil {
 		sentAt := time.Now()
-		list, err := r.config.Hosts.List(ctx)
+		list, err := t.config.Hosts.List(ctx)
 		now := time.Now()
 		isBusy := false
-		r.locked(func() {
+		t.locked(func() {
 			if err == nil {
-				r.leader.HostsListed(list, sentAt, now)
+				t.leader.HostsListed(list, sentAt, now)
 			}
-			isBusy = r.leader.WantsHosts(now) || err != nil
+			isBusy = t.leader.WantsHosts(now) || err != nil
 		})
 		if err != nil {
-			r.config.Journal.Info("hosts not read", "error", err.Error())
+			t.config.Journal.Info("hosts not read", "error", err.Error())
 		} else {
-			r.kick()
+			t.wake()
 		}
-		for waited := time.Duration(0); waited < hostsSlow; waited += hostsQuick {
-			if !sleep(ctx, hostsQuick) {
+		for waited := time.Duration(0); waited < hostListInterval; waited += busyHostListInterval {
+			if !sleep(ctx, busyHostListInterval) {
 				return
 			}
-			r.locked(func() {
-				isBusy = isBusy || r.leader.WantsHosts(time.Now())
+			t.locked(func() {
+				isBusy = isBusy || t.leader.WantsHosts(time.Now())
 			})
 			if isBusy {
 				break
@@ -173,19 +173,19 @@
 }
 
 // adviceLoop asks the advice service.
-func (r *reign) adviceLoop(ctx context.Context) {
+func (t *term) adviceLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case ask := <-r.asks:
-			asking, cancel := context.WithTimeout(ctx, adviceTimeout)
-			granted, err := r.config.Advice.Ask(asking, ask)
+		case query := <-t.adviceQueries:
+			queryCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
+			granted, err := t.config.Advice.Ask(queryCtx, query)
 			cancel()
-			r.locked(func() {
-				r.leader.Advised(ask, granted, err == nil, time.Now())
+			t.locked(func() {
+				t.leader.Advised(query, granted, err == nil, time.Now())
 			})
-			r.kick()
+			t.wake()
 		}
 	}
 }
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -15,17 +15,17 @@
 )
 
 // load reads all rows of before, until it works or the leadership ends.
-func (r *reign) load() bool {
-	for r.ctx.Err() == nil {
+func (t *term) load() bool {
+	for t.ctx.Err() == nil {
 		started := time.Now()
-		rows, err := r.readRows()
+		rows, err := t.readRows()
 		if err == nil {
-			r.begin(rows)
+			t.initLeader(rows)
 			metrics.GetOrCreateHistogram("leader_load_seconds").UpdateDuration(started)
 			return true
 		}
-		r.config.Journal.Info("rows not loaded", "error", err.Error())
-		if !sleep(r.ctx, loadRetry) {
+		t.config.Journal.Info("rows not loaded", "error", err.Error())
+		if !sleep(t.ctx, loadRetryDelay) {
 			return false
 		}
 	}
@@ -33,27 +33,27 @@
 }
 
 // begin starts the leader's state from the rows.
-func (r *reign) begin(rows loadedRows) {
-	r.control.mu.Lock()
-	current, waves := r.control.policy, maps.Clone(r.control.waves)
-	r.control.mu.Unlock()
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *term) initLeader(rows loadedRows) {
+	t.control.mu.Lock()
+	current, waves := t.control.policy, maps.Clone(t.control.waves)
+	t.control.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
 	if current != nil {
-		r.leader.SetPolicy(current)
+		t.leader.SetPolicy(current)
 	}
 	for _, wave := range waves {
-		r.leader.WaveListed(wave, now)
+		t.leader.WaveListed(wave, now)
 	}
 	for number, wave := range rows.waves {
-		r.leader.WaveLoaded(number, wave.Done, wave.Complete)
+		t.leader.WaveLoaded(number, wave.Done, wave.Complete)
 	}
 	for host, change := range rows.changes {
-		r.leader.ChangeLoaded(host, change.At, now.Round(0), now)
+		t.leader.ChangeLoaded(host, change.At, now.Round(0), now)
 	}
-	r.leader.Load(rows.jobs, now, now)
-	r.loaded = true
+	t.leader.Load(rows.jobs, now, now)
+	t.loaded = true
 }
 
 // loadedRows is what the store holds when a leadership begins.
@@ -64,36 +64,36 @@
 }
 
 // readRows reads jobs, cancels, progress, waves and changes of hosts.
-func (r *reign) readRows() (loadedRows, error) {
+func (t *term) readRows() (loadedRows, error) {
 	cancelled := map[job.ID]bool{}
 	stored := map[job.ID]*fleet.Stored{}
 	for shard := range record.JobShards {
-		if err := r.readShard(shard, stored, cancelled); err != nil {
+		if err := t.readShard(shard, stored, cancelled); err != nil {
 			return loadedRows{}, err
 		}
 	}
-	rows, err := r.config.Store.Scan(r.ctx, record.ProgressPrefix)
+	rows, err := t.config.Store.Scan(t.ctx, record.ProgressPrefix)
 	if err != nil {
 		return loadedRows{}, err
 	}
 	for _, row := range rows {
-		r.addProgress(stored, row)
+		t.decodeProgress(stored, row)
 	}
 	var out loadedRows
 	for id, entry := range stored {
 		entry.Cancelled = cancelled[id]
 		out.jobs = append(out.jobs, *entry)
 	}
-	if out.waves, err = r.readWaves(); err != nil {
+	if out.waves, err = t.readWaves(); err != nil {
 		return loadedRows{}, err
 	}
-	out.changes, err = r.readChanges()
+	out.changes, err = t.readChanges()
 	return out, err
 }
 
 // readChanges reads when each host was last about to be changed.
-func (r *reign) readChanges() (map[fleet.HostID]record.Change, error) {
-	rows, err := r.config.Store.Scan(r.ctx, record.ChangePrefix)
+func (t *term) readChanges() (map[fleet.HostID]record.Change, error) {
+	rows, err := t.config.Store.Scan(t.ctx, record.ChangePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	for _, row := range rows {
 		change, err := record.Decode[record.Change](row.Value)
 		if err != nil {
-			r.config.Journal.Info("change not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+			t.config.Journal.Info("change not readable", "key", row.Key, "version", row.Version, "error", err.Error())
 			// As if it had been just now.
 			change.At = time.Now().Round(0)
 		}
@@ -111,20 +111,20 @@
 }
 
 // readShard reads one part of the jobs and cancels.
-func (r *reign) readShard(shard int, stored map[job.ID]*fleet.Stored, cancelled map[job.ID]bool) error {
-	rows, err := r.config.Store.Scan(r.ctx, record.JobPrefix(shard))
+func (t *term) readShard(shard int, stored map[job.ID]*fleet.Stored, cancelled map[job.ID]bool) error {
+	rows, err := t.config.Store.Scan(t.ctx, record.JobPrefix(shard))
 	if err != nil {
 		return err
 	}
 	for _, row := range rows {
 		submission, err := job.DecodeSubmission(row.Value)
 		if err != nil {
-			r.config.Journal.Info("job not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+			t.config.Journal.Info("job not readable", "key", row.Key, "version", row.Version, "error", err.Error())
 			continue
 		}
 		stored[submission.ID] = &fleet.Stored{Submission: submission}
 	}
-	rows, err = r.config.Store.Scan(r.ctx, record.CancelPrefix(shard))
+	rows, err = t.config.Store.Scan(t.ctx, record.CancelPrefix(shard))
 	for _, row := range rows {
 		cancelled[job.ID(record.IDOf(row.Key))] = true
 	}
@@ -132,22 +132,22 @@
 }
 
 // addProgress decodes a progress row.
-func (r *reign) addProgress(stored map[job.ID]*fleet.Stored, row table.Row) {
+func (t *term) decodeProgress(stored map[job.ID]*fleet.Stored, row table.Row) {
 	entry := stored[job.ID(record.IDOf(row.Key))]
 	if entry == nil {
 		return
 	}
 	progress := job.NewProgress()
 	if err := progress.UnmarshalJSON(row.Value); err != nil {
-		r.config.Journal.Info("progress not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+		t.config.Journal.Info("progress not readable", "key", row.Key, "version", row.Version, "error", err.Error())
 		return
 	}
 	entry.Progress = progress
 }
 
 // readWaves reads what has been done of each wave.
-func (r *reign) readWaves() (map[int64]record.Wave, error) {
-	rows, err := r.config.Store.Scan(r.ctx, record.WavePrefix)
+func (t *term) readWaves() (map[int64]record.Wave, error) {
+	rows, err := t.config.Store.Scan(t.ctx, record.WavePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +156,7 @@
 		wave, err := record.Decode[record.Wave](row.Value)
 		number, ok := waveNumber(row.Key)
 		if err != nil || !ok {
-			r.config.Journal.Info("wave not readable", "key", row.Key, "version", row.Version)
+			t.config.Journal.Info("wave not readable", "key", row.Key, "version", row.Version)
 			continue
 		}
 		waves[number] = wave
@@ -170,27 +170,27 @@
 }
 
 // lookupLoop reads the rows of jobs that endpoints know and the leader does not.
-func (r *reign) lookupLoop(ctx context.Context) {
+func (t *term) lookupLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-r.lookups:
-			stored, err := r.readJob(ctx, id)
+		case id := <-t.lookups:
+			stored, err := t.readJob(ctx, id)
 			if err != nil {
-				r.config.Journal.Info("job not looked up", "job", id, "error", err.Error())
+				t.config.Journal.Info("job not looked up", "job", id, "error", err.Error())
 				continue
 			}
 			now := time.Now()
-			r.locked(func() { r.leader.Found(id, stored, now, now) })
-			r.kick()
+			t.locked(func() { t.leader.Found(id, stored, now, now) })
+			t.wake()
 		}
 	}
 }
 
 // readJob reads one job's rows, or nil if it has none.
-func (r *reign) readJob(ctx context.Context, id job.ID) (*fleet.Stored, error) {
-	rows, err := r.config.Store.Get(ctx, record.JobKey(id), record.CancelKey(id), record.ProgressKey(id))
+func (t *term) readJob(ctx context.Context, id job.ID) (*fleet.Stored, error) {
+	rows, err := t.config.Store.Get(ctx, record.JobKey(id), record.CancelKey(id), record.ProgressKey(id))
 	if err != nil {
 		return nil, err
 	}
@@ -203,7 +203,7 @@
 	}
 	stored := map[job.ID]*fleet.Stored{id: {Submission: submission, Cancelled: rows[1].Version != table.Absent}}
 	if rows[2].Version != table.Absent {
-		r.addProgress(stored, rows[2])
+		t.decodeProgress(stored, rows[2])
 	}
 	return stored[id], nil
 }
--- a/internal/control/reign.go
+++ b/internal/control/term.go
@@ -17,33 +17,33 @@
 
 const (
 	// stepEvery is the longest time between two steps, for what depends on time alone.
-	stepEvery = 100 * time.Millisecond
+	maxStepInterval = 100 * time.Millisecond
 	// stepPause gathers events that arrive together into one step.
-	stepPause = 8 * time.Millisecond
+	minStepPause = 8 * time.Millisecond
 	// stepRest times what a step took is left for other work before the next one,
 	// up to stepPauseMost: at the peak steps would else take half of the processor.
-	stepRest      = 4
-	stepPauseMost = 50 * time.Millisecond
+	stepPauseFactor = 4
+	maxStepPause    = 50 * time.Millisecond
 	// batchPause is the shortest time between two batches, since each call to the store is charged.
 	batchPause = 30 * time.Millisecond
 	// batchRetry is the time before a batch that was not written is tried again.
-	batchRetry = 100 * time.Millisecond
+	commitRetryDelay = 100 * time.Millisecond
 	// renewEvery is the time between two renewals of the claim.
-	renewEvery = time.Second
+	renewInterval = time.Second
 	// loadRetry is the time before the rows are read again after a failure.
-	loadRetry = 150 * time.Millisecond
+	loadRetryDelay = 150 * time.Millisecond
 	// pendingLookups is how many jobs wait to be looked up, and lookupReaders how
 	// many are read at a time.
-	pendingLookups = 256
-	lookupReaders  = 4
+	lookupQueueSize = 256
+	lookupWorkers   = 4
 	// forgetEvery is the time between two removals of old rows, and forgetMost
 	// how many jobs one removes: a transaction has 100 entries.
-	forgetEvery = 5 * time.Second
-	forgetMost  = 40
+	cleanupInterval = 5 * time.Second
+	maxCleanupJobs  = 40
 )
 
 // reign is one leadership.
-type reign struct {
+type term struct {
 	control *Control
 	config  Config
 	ctx     context.Context
@@ -51,73 +51,73 @@
 	writer  *writer
 	group   *loops.Group
 
-	mu        sync.Mutex
-	leader    *fleet.Leader
-	loaded    bool
-	endpoints map[fleet.EndpointID]*endpointWorker
+	mu       sync.Mutex
+	leader   *fleet.Leader
+	loaded   bool
+	sessions map[fleet.EndpointID]*endpointSession
 	// kicks wakes the step loop, dirty the batch loop.
-	kicks, dirty chan struct{}
-	orders       chan hostOrder
-	asks         chan fleet.Ask
-	lookups      chan job.ID
+	wakeStep, wakeBatch chan struct{}
+	hostOrders          chan hostOrder
+	adviceQueries       chan fleet.Ask
+	lookups             chan job.ID
 }
 
-func newReign(ctx context.Context, c *Control, claim record.Claim, version uint64) *reign {
-	r := &reign{
+func newTerm(ctx context.Context, c *Control, claim record.Claim, version uint64) *term {
+	t := &term{
 		control: c, config: c.config, ctx: ctx, claim: claim,
 		leader: fleet.New(fleet.Config{
 			Token: claim.Token, Now: time.Now(), Bounds: c.config.Bounds, Journal: c.config.Journal,
 		}),
-		endpoints: map[fleet.EndpointID]*endpointWorker{},
-		kicks:     make(chan struct{}, 1), dirty: make(chan struct{}, 1),
-		orders: make(chan hostOrder, hostOrders), asks: make(chan fleet.Ask, pendingAsks),
-		lookups: make(chan job.ID, pendingLookups),
+		sessions: map[fleet.EndpointID]*endpointSession{},
+		wakeStep: make(chan struct{}, 1), wakeBatch: make(chan struct{}, 1),
+		hostOrders: make(chan hostOrder, hostOrderQueueSize), adviceQueries: make(chan fleet.Ask, adviceQueueSize),
+		lookups: make(chan job.ID, lookupQueueSize),
 	}
-	r.writer = newWriter(writerConfig{
+	t.writer = newWriter(writerConfig{
 		Store: c.config.Store, Journal: c.config.Journal, Token: claim.Token, ClaimVersion: version,
-		Confirmed: func(sentAt time.Time) { r.locked(func() { r.leader.Confirm(sentAt) }) },
+		Confirmed: func(sentAt time.Time) { t.locked(func() { t.leader.Confirm(sentAt) }) },
 		Lost:      func() { c.config.Lost(claim.Token, "the claim has changed") },
 	})
-	return r
+	return t
 }
 
 // run leads until the leadership's context ends.
-func (r *reign) run() {
-	if !r.load() {
+func (t *term) run() {
+	if !t.load() {
 		return
 	}
-	r.group = loops.New(r.ctx)
-	r.group.Go(r.endpointFeed)
-	r.group.Go(func(ctx context.Context) { r.rowFeed(ctx, record.JobTable, r.jobRow) })
-	r.group.Go(func(ctx context.Context) { r.rowFeed(ctx, record.CancelTable, r.cancelRow) })
-	r.group.Go(r.batchLoop)
-	r.group.Go(r.stepLoop)
-	r.group.Go(r.hostFeed)
-	r.group.Go(r.hostLoop)
-	r.group.Go(r.forgetLoop)
-	for range lookupReaders {
-		r.group.Go(r.lookupLoop)
-	}
-	if r.config.Advice != nil {
-		for range adviceCallers {
-			r.group.Go(r.adviceLoop)
+	t.group = loops.New(t.ctx)
+	t.group.Go(t.endpointFeed)
+	t.group.Go(func(ctx context.Context) { t.rowFeed(ctx, record.JobTable, t.applyJobRow) })
+	t.group.Go(func(ctx context.Context) { t.rowFeed(ctx, record.CancelTable, t.applyCancelRow) })
+	t.group.Go(t.batchLoop)
+	t.group.Go(t.stepLoop)
+	t.group.Go(t.hostFeed)
+	t.group.Go(t.hostLoop)
+	t.group.Go(t.cleanupLoop)
+	for range lookupWorkers {
+		t.group.Go(t.lookupLoop)
+	}
+	if t.config.Advice != nil {
+		for range adviceWorkers {
+			t.group.Go(t.adviceLoop)
 		}
 	}
-	r.group.Wait()
+	t.group.Wait()
 }
 
 // locked runs f under the leader's lock, which it gives back also when f finds
 // a broken invariant: the process has to be able to end.
-func (r *reign) locked(f func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *term) locked(f func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	f()
 }
 
 // kick asks for a step.
-func (r *reign) kick() {
-	signal(r.kicks)
-	signal(r.dirty)
+func (t *term) wake() {
+	signal(t.wakeStep)
+	signal(t.wakeBatch)
 }
 
 func signal(c chan struct{}) {
@@ -139,115 +139,115 @@
 	}
 }
 
-func (r *reign) isLoaded() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.loaded
+func (t *term) isLoaded() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.loaded
 }
 
 // setPolicy puts a configuration in force.
-func (r *reign) setPolicy(current *policy.Policy) {
-	r.locked(func() { r.leader.SetPolicy(current) })
-	r.kick()
+func (t *term) setPolicy(current *policy.Policy) {
+	t.locked(func() { t.leader.SetPolicy(current) })
+	t.wake()
 }
 
 // setWave takes a wave.
-func (r *reign) setWave(wave fleet.WaveRow) {
-	r.locked(func() { r.leader.WaveListed(wave, time.Now()) })
-	r.kick()
+func (t *term) setWave(wave fleet.WaveRow) {
+	t.locked(func() { t.leader.WaveListed(wave, time.Now()) })
+	t.wake()
 }
 
 // accept takes a job that the store holds.
-func (r *reign) accept(submission *job.Submission) {
+func (t *term) accept(submission *job.Submission) {
 	now := time.Now()
-	r.locked(func() { r.leader.Accepted(submission, now, now) })
-	r.kick()
+	t.locked(func() { t.leader.Accepted(submission, now, now) })
+	t.wake()
 }
 
 // cancelled takes a cancel that the store holds.
-func (r *reign) cancelled(id job.ID) {
-	r.locked(func() { r.leader.Cancelled(id, time.Now()) })
-	r.kick()
+func (t *term) cancel(id job.ID) {
+	t.locked(func() { t.leader.Cancelled(id, time.Now()) })
+	t.wake()
 }
 
 // jobRow takes a job's row from the feed.
-func (r *reign) jobRow(change table.Change) {
+func (t *term) applyJobRow(change table.Change) {
 	if change.Removed {
 		return
 	}
 	submission, err := job.DecodeSubmission(change.Row.Value)
 	if err != nil {
-		r.config.Journal.Info("job not readable", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
+		t.config.Journal.Info("job not readable", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
 		return
 	}
-	r.accept(submission)
+	t.accept(submission)
 }
 
 // cancelRow takes a cancel's row from the feed.
-func (r *reign) cancelRow(change table.Change) {
+func (t *term) applyCancelRow(change table.Change) {
 	if !change.Removed {
-		r.cancelled(job.ID(record.IDOf(change.Row.Key)))
+		t.cancel(job.ID(record.IDOf(change.Row.Key)))
 	}
 }
 
 // stepLoop lets the leader decide, and sends its orders.
-func (r *reign) stepLoop(ctx context.Context) {
+func (t *term) stepLoop(ctx context.Context) {
 	for {
-		timer := time.NewTimer(stepEvery)
+		timer := time.NewTimer(maxStepInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-r.kicks:
+		case <-t.wakeStep:
 		case <-timer.C:
 		}
 		timer.Stop()
-		took := r.step()
-		if !sleep(ctx, min(stepPauseMost, max(stepPause, stepRest*took))) {
+		took := t.step()
+		if !sleep(ctx, min(maxStepPause, max(minStepPause, stepPauseFactor*took))) {
 			return
 		}
 	}
 }
 
 // step decides once, and returns how long that took.
-func (r *reign) step() time.Duration {
+func (t *term) step() time.Duration {
 	started := time.Now()
-	followed := r.config.Followed()
-	r.locked(func() {
-		r.leader.Confirm(followed)
-		r.sendAll(r.leader.Step(started, started))
+	confirmedAt := t.config.MajorityConfirmedAt()
+	t.locked(func() {
+		t.leader.Confirm(confirmedAt)
+		t.queueOrders(t.leader.Step(started, started))
 	})
 	metrics.GetOrCreateHistogram("leader_step_seconds").UpdateDuration(started)
 	return time.Since(started)
 }
 
 // sendAll queues orders; r.mu is held.
-func (r *reign) sendAll(orders fleet.Orders) {
-	r.syncWorkers()
-	workers := r.endpoints
+func (t *term) queueOrders(orders fleet.Orders) {
+	t.syncSessions()
+	sessions := t.sessions
 	for _, start := range orders.Starts {
-		r.send(workers[start.Endpoint], order{start: &start})
+		t.queueOrder(sessions[start.Endpoint], order{start: &start})
 	}
 	for _, stop := range orders.Stops {
-		r.send(workers[stop.Endpoint], order{stop: &stop})
+		t.queueOrder(sessions[stop.Endpoint], order{stop: &stop})
 	}
-	for _, pace := range orders.Paces {
-		r.send(workers[pace.Endpoint], order{pace: &pace})
+	for _, throttle := range orders.Paces {
+		t.queueOrder(sessions[throttle.Endpoint], order{throttle: &throttle})
 	}
 	for _, id := range orders.Lookups {
 		select {
-		case r.lookups <- id:
+		case t.lookups <- id:
 		default:
 			// It is asked for again.
 		}
 	}
-	for _, ask := range orders.Asks {
-		r.sendAsk(ask)
+	for _, query := range orders.Asks {
+		t.queueAdviceQuery(query)
 	}
 	for _, move := range orders.Moves {
-		r.sendHost(hostOrder{move: &move})
+		t.queueHostOrder(hostOrder{move: &move})
 	}
-	for _, upkeep := range orders.Upkeeps {
-		r.sendHost(hostOrder{upkeep: &upkeep})
+	for _, maintenance := range orders.Upkeeps {
+		t.queueHostOrder(hostOrder{maintenance: &maintenance})
 	}
 }
--- a/internal/control/writer.go
+++ b/internal/control/writer.go
@@ -34,7 +34,7 @@
 	mu sync.Mutex
 	// number is that of the newest transaction, version the sequence's row.
 	number, version uint64
-	isKnown         bool
+	isVersionKnown  bool
 }
 
 func newWriter(config writerConfig) *writer {
@@ -43,20 +43,20 @@
 
 // commit writes a transaction. News is tried again until it is written or the
 // leadership is over. It reports whether the store has taken it.
-func (w *writer) commit(ctx context.Context, txn table.Txn, isNews bool) bool {
+func (w *writer) commit(ctx context.Context, txn table.Txn, retry bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.number++
 	for ctx.Err() == nil {
-		done, again := w.attempt(ctx, txn)
+		done, isPauseDue := w.attempt(ctx, txn)
 		if done {
 			return true
 		}
-		if !again {
+		if !isPauseDue {
 			continue
 		}
 		metrics.GetOrCreateCounter("leader_commit_failures_total").Inc()
-		if !isNews || !sleep(ctx, batchRetry) {
+		if !retry || !sleep(ctx, commitRetryDelay) {
 			return false
 		}
 	}
@@ -64,15 +64,15 @@
 }
 
 // attempt makes one call. pause is false if another call should follow at once.
-func (w *writer) attempt(ctx context.Context, txn table.Txn) (done, pause bool) {
-	if !w.isKnown {
-		done, err := w.settle(ctx)
+func (w *writer) attempt(ctx context.Context, txn table.Txn) (done, isPauseDue bool) {
+	if !w.isVersionKnown {
+		done, err := w.resolveOutcome(ctx)
 		if err != nil || done {
 			return done, true
 		}
 	}
 	sentAt := time.Now()
-	version, err := table.CommitVersion(ctx, w.config.Store, w.guarded(txn), record.SequenceKey)
+	version, err := table.CommitVersion(ctx, w.config.Store, w.withConditions(txn), record.SequenceKey)
 	switch {
 	case err == nil:
 		w.version = version
@@ -80,7 +80,7 @@
 		return true, false
 	case table.IsConflict(err), errors.Is(err, table.ErrUnknown):
 		// It may be done, or an earlier one may have been done late.
-		w.isKnown = false
+		w.isVersionKnown = false
 		return false, !table.IsConflict(err)
 	case errors.Is(err, table.ErrUnavailable):
 		return false, true
@@ -91,7 +91,7 @@
 }
 
 // guarded adds the conditions, and the sequence's next row as the first write.
-func (w *writer) guarded(txn table.Txn) table.Txn {
+func (w *writer) withConditions(txn table.Txn) table.Txn {
 	next := record.Encode(record.Sequence{Token: w.config.Token, Number: w.number})
 	return table.Txn{
 		Conditions: append([]table.Condition{
@@ -103,7 +103,7 @@
 
 // settle reads the claim and the sequence. It reports whether the newest
 // transaction is done.
-func (w *writer) settle(ctx context.Context) (bool, error) {
+func (w *writer) resolveOutcome(ctx context.Context) (bool, error) {
 	rows, err := w.config.Store.Get(ctx, record.ClaimKey, record.SequenceKey)
 	if err != nil {
 		return false, err
@@ -112,7 +112,7 @@
 		w.config.Lost()
 		return false, errors.New("another process leads")
 	}
-	w.isKnown, w.version = true, rows[1].Version
+	w.isVersionKnown, w.version = true, rows[1].Version
 	if rows[1].Version == table.Absent {
 		return false, nil
 	}
--- a/internal/control/writer_test.go
+++ b/internal/control/writer_test.go
@@ -10,32 +10,32 @@
 )
 
 // lateStore loses the answer of one commit and carries it out when told to.
-type lateStore struct {
+type delayedStore struct {
 	*table.Memory
-	loseNext, performNow bool
-	late                 *table.Txn
+	loseNextAnswer, applyNow bool
+	pending                  *table.Txn
 }
 
-func (s *lateStore) Commit(ctx context.Context, txn table.Txn) error {
-	if !s.loseNext {
+func (s *delayedStore) Commit(ctx context.Context, txn table.Txn) error {
+	if !s.loseNextAnswer {
 		return s.Memory.Commit(ctx, txn)
 	}
-	s.loseNext = false
-	s.late = &txn
-	if s.performNow {
-		s.perform(ctx)
+	s.loseNextAnswer = false
+	s.pending = &txn
+	if s.applyNow {
+		s.applyPending(ctx)
 	}
 	return table.ErrUnknown
 }
 
 // perform carries the lost transaction out, if its conditions still hold.
-func (s *lateStore) perform(ctx context.Context) {
-	_ = s.Memory.Commit(ctx, *s.late)
+func (s *delayedStore) applyPending(ctx context.Context) {
+	_ = s.Memory.Commit(ctx, *s.pending)
 }
 
-type silentJournal struct{}
+type discardJournal struct{}
 
-func (silentJournal) Info(string, ...any) {}
+func (discardJournal) Info(string, ...any) {}
 
 func newTestWriter(t *testing.T, store table.Store, lost func()) *writer {
 	t.Helper()
@@ -48,16 +48,16 @@
 		t.Fatal(err)
 	}
 	return newWriter(writerConfig{
-		Store: store, Journal: silentJournal{}, Token: 3, ClaimVersion: rows[0].Version,
+		Store: store, Journal: discardJournal{}, Token: 3, ClaimVersion: rows[0].Version,
 		Confirmed: func(time.Time) {}, Lost: lost,
 	})
 }
 
-func write(value string) table.Txn {
+func progressTxn(value string) table.Txn {
 	return table.Txn{Writes: []table.Write{{Key: "progress/leader/x", Value: []byte(value)}}}
 }
 
-func valueOf(t *testing.T, store table.Store) string {
+func progressValue(t *testing.T, store table.Store) string {
 	t.Helper()
 	rows, err := store.Get(context.Background(), "progress/leader/x")
 	if err != nil {
@@ -70,27 +70,27 @@
 // next one, and must not bring its older row back.
 func TestLateTransactionsUndoNothing(t *testing.T) {
 	ctx := context.Background()
-	store := &lateStore{Memory: table.NewMemory()}
+	store := &delayedStore{Memory: table.NewMemory()}
 	w := newTestWriter(t, store, func() { t.Error("leadership: got lost, want kept") })
-	store.loseNext = true
-	if !w.commit(ctx, write("old"), true) || !w.commit(ctx, write("new"), true) {
+	store.loseNextAnswer = true
+	if !w.commit(ctx, progressTxn("old"), true) || !w.commit(ctx, progressTxn("new"), true) {
 		t.Fatal("commits: got refused, want done")
 	}
-	store.perform(ctx)
-	if got := valueOf(t, store); got != "new" {
+	store.applyPending(ctx)
+	if got := progressValue(t, store); got != "new" {
 		t.Errorf("row after the late transaction: got %q, want new", got)
 	}
 }
 
 func TestLostAnswerOfADoneTransaction(t *testing.T) {
 	ctx := context.Background()
-	store := &lateStore{Memory: table.NewMemory()}
+	store := &delayedStore{Memory: table.NewMemory()}
 	w := newTestWriter(t, store, func() { t.Error("leadership: got lost, want kept") })
-	store.loseNext, store.performNow = true, true
-	if !w.commit(ctx, write("old"), true) || !w.commit(ctx, write("new"), true) {
+	store.loseNextAnswer, store.applyNow = true, true
+	if !w.commit(ctx, progressTxn("old"), true) || !w.commit(ctx, progressTxn("new"), true) {
 		t.Fatal("commits: got refused, want done")
 	}
-	if got := valueOf(t, store); got != "new" {
+	if got := progressValue(t, store); got != "new" {
 		t.Errorf("row: got %q, want new", got)
 	}
 }
@@ -98,20 +98,20 @@
 // What is no news is given up, and may be done late before what follows.
 func TestAbandonedTransactionIsDoneLate(t *testing.T) {
 	ctx := context.Background()
-	store := &lateStore{Memory: table.NewMemory()}
+	store := &delayedStore{Memory: table.NewMemory()}
 	w := newTestWriter(t, store, func() { t.Error("leadership: got lost, want kept") })
-	if !w.commit(ctx, write("first"), true) {
+	if !w.commit(ctx, progressTxn("first"), true) {
 		t.Fatal("first commit: got refused, want done")
 	}
-	store.loseNext = true
-	if w.commit(ctx, write("abandoned"), false) {
+	store.loseNextAnswer = true
+	if w.commit(ctx, progressTxn("abandoned"), false) {
 		t.Fatal("commit without an answer: got done, want not known")
 	}
-	store.perform(ctx)
-	if !w.commit(ctx, write("new"), true) {
+	store.applyPending(ctx)
+	if !w.commit(ctx, progressTxn("new"), true) {
 		t.Fatal("next commit: got refused, want done")
 	}
-	if got := valueOf(t, store); got != "new" {
+	if got := progressValue(t, store); got != "new" {
 		t.Errorf("row: got %q, want new", got)
 	}
 }
@@ -123,7 +123,7 @@
 	if err := store.Commit(ctx, table.Txn{Writes: []table.Write{{Key: record.ClaimKey, Value: []byte("{}")}}}); err != nil {
 		t.Fatal(err)
 	}
-	if w.commit(ctx, write("x"), true) {
+	if w.commit(ctx, progressTxn("x"), true) {
 		t.Error("commit under a claim that has changed: got done, want refused")
 	}
 	if ctx.Err() == nil {
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -113,7 +113,7 @@
 		Name: settings.Name, Address: settings.Peers, Processor: settings.Processor, Seeds: settings.Seeds, Store: n.store, Journal: n.journal,
 		Won:           func(ctx context.Context, won memberClaim, version uint64) { n.control.Lead(ctx, won, version) },
 		PolicyVersion: n.holder.Version,
-		Largest:       func() policy.Resources { return n.control.Largest() },
+		Largest:       func() policy.Resources { return n.control.MaxHostResources() },
 	})
 	var advice control.Advice
 	if settings.Advice.IsValid() {
@@ -127,7 +127,7 @@
 			Client: client, Address: settings.Hosts, Holder: settings.Name, Timeout: hostTimeout,
 		}),
 		Advice: advice, WaveStatus: platform.WaveStatus{}, Bounds: settings.Bounds.FleetBounds(), Journal: n.journal,
-		Lost: n.member.Lost, Followed: n.member.Followed, StoreAnswered: n.storeAnswered,
+		Lost: n.member.Lost, MajorityConfirmedAt: n.member.Followed, ObserveStore: n.storeAnswered,
 	})
 	n.ingress = ingress.New(ingress.Config{
 		Policy: n.holder, Store: n.member.Store(), Fleet: member.NewFleetClient(n.member, n.control),
