--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -10,7 +10,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// batchLoop writes the leader's rows and renews its claim.
+// batchLoop writes batches of the leader's changed rows and renews its claim.
 func (t *term) batchLoop(ctx context.Context) {
 	renewed := time.Now()
 	for {
@@ -27,14 +27,14 @@
 		if t.writeNext(ctx, isDue) && isDue {
 			renewed = time.Now()
 		}
-		if !sleep(ctx, batchPause) {
+		if !sleep(ctx, minBatchPause) {
 			return
 		}
 	}
 }
 
-// writeNext writes the next batch, and the renewal if it is due. It reports
-// whether the store has taken both.
+// writeNext commits the next batch, together with the claim's renewal if renew
+// is set. It reports whether the store has committed them.
 func (t *term) writeNext(ctx context.Context, renew bool) bool {
 	var batch fleet.Batch
 	var waves []fleet.WaveNews
@@ -64,19 +64,21 @@
 	if hasBatch {
 		t.locked(func() { t.leader.BatchWritten(batch, time.Now()) })
 		t.wakeEndpoints()
-		t.wake()
+		t.requestStep()
 	}
 	return true
 }
 
-// tellWaves writes the rows in which operators read the waves' states.
+// writeWaveStatus writes the rows in which operators read the state of
+// maintenance waves.
 func (t *term) writeWaveStatus(ctx context.Context, waves []fleet.WaveNews) {
 	for _, wave := range waves {
 		txn := table.Txn{Writes: []table.Write{{
 			Key: t.config.WaveStatus.Key(wave.Number), Value: t.config.WaveStatus.Encode(wave.Number, wave.Complete),
 		}}}
 		if !wave.Complete {
-			// Written once: done late, it must not replace the wave's end.
+			// Written only if absent: a delayed commit must not overwrite the
+			// row of a completed wave.
 			txn.Conditions = []table.Condition{{Key: txn.Writes[0].Key, Version: table.Absent}}
 		}
 		for ctx.Err() == nil {
@@ -90,7 +92,7 @@
 	}
 }
 
-// forgetLoop removes the rows of jobs that ended long ago.
+// cleanupLoop deletes the rows of jobs whose retention has expired.
 func (t *term) cleanupLoop(ctx context.Context) {
 	for sleep(ctx, cleanupInterval) {
 		var ids []job.ID
@@ -101,8 +103,8 @@
 	}
 }
 
-// removeRows removes jobs before their progress: progress without a job means
-// nothing, but a job without its progress would run again.
+// deleteRows deletes jobs before their progress: progress without a job is
+// ignored, but a job without its progress would run again.
 func (t *term) deleteRows(ctx context.Context, ids []job.ID) bool {
 	byShard := map[int][]table.Write{}
 	var progress table.Txn
@@ -114,7 +116,7 @@
 	}
 	for _, writes := range byShard {
 		if err := t.config.Store.Commit(ctx, table.Txn{Writes: writes}); err != nil {
-			t.config.Journal.Info("old rows not removed", "rows", len(writes), "error", err.Error())
+			t.config.Journal.Info("rows of finished jobs not deleted", "rows", len(writes), "error", err.Error())
 			return false
 		}
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -12,7 +12,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Endpoints gives orders to endpoints.
+// Endpoints sends orders and lease renewals to endpoints.
 type Endpoints interface {
 	Start(ctx context.Context, to fleet.EndpointAddress, token uint64, start fleet.Start) fleet.Reply
 	Stop(ctx context.Context, to fleet.EndpointAddress, token uint64, stop fleet.Stop) fleet.Reply
@@ -33,29 +33,29 @@
 	StartMaintenance(ctx context.Context, token uint64, host fleet.HostID, wave int64) fleet.ChangeOutcome
 }
 
-// Advice names the endpoints that may run a step.
+// Advice is the service that tells which endpoints may run a step.
 type Advice interface {
 	Ask(ctx context.Context, ask fleet.Ask) (fleet.Granted, error)
 }
 
-// Feed tells of changed rows.
+// Feed reads tables and follows their changes.
 type Feed interface {
 	ScanAt(ctx context.Context, prefix string) ([]table.Row, uint64, error)
 	Follow(ctx context.Context, tableName string, after uint64, wait time.Duration) ([]table.Change, uint64, error)
 }
 
-// WaveStatus names and encodes the row in which operators read a wave's state.
+// WaveStatus encodes the row in which operators read a maintenance wave's state.
 type WaveStatus interface {
 	Key(wave int64) string
 	Encode(wave int64, complete bool) []byte
 }
 
-// Journal takes decisions.
+// Journal logs events.
 type Journal interface {
 	Info(event string, fields ...any)
 }
 
-// Config is what a Control is built from.
+// Config configures a Control.
 type Config struct {
 	Store        table.Store
 	Feed         Feed
@@ -67,15 +67,16 @@
 	WaveStatus WaveStatus
 	Bounds     fleet.Bounds
 	Journal    Journal
-	// Lost is called when a leadership turns out to be over.
+	// Lost is called when the leadership with this token is found to be over.
 	Lost func(token uint64, why string)
-	// Followed returns when most of the other processes last said that we lead.
+	// MajorityConfirmedAt returns when a majority of the processes last
+	// confirmed this process as leader.
 	MajorityConfirmedAt func() time.Time
-	// StoreAnswered is told how each call of the feeds ended.
+	// ObserveStore is called with the result of each call of the feeds.
 	ObserveStore func(err error)
 }
 
-// Control is the fleet's part of a process, which may or may not lead.
+// Control runs the fleet's leader in a process while that process leads.
 type Control struct {
 	config Config
 
@@ -86,23 +87,23 @@
 	terms  chan *term
 }
 
-// New returns a part that does not lead.
+// New returns a Control that does not lead yet.
 func New(config Config) *Control {
 	return &Control{config: config, waves: map[int64]fleet.WaveRow{}, terms: make(chan *term, 1)}
 }
 
-// Lead starts a leadership that ends with ctx.
+// Lead starts a leadership term that ends with ctx.
 func (c *Control) Lead(ctx context.Context, claim record.Claim, version uint64) {
 	t := newTerm(ctx, c, claim, version)
 	select {
 	case c.terms <- t:
 	default:
-		// Two leaderships at once: the older one has ended, and Run is about to see it.
+		// The previous term has ended, but Run has not finished it yet.
 		c.config.Lost(claim.Token, "the process is still ending an earlier leadership")
 	}
 }
 
-// Run carries out leaderships one after the other until ctx ends.
+// Run executes leadership terms one after the other until ctx ends.
 func (c *Control) Run(ctx context.Context) {
 	for {
 		select {
@@ -120,7 +121,7 @@
 	}
 }
 
-// SetPolicy puts a configuration in force.
+// SetPolicy applies a new configuration.
 func (c *Control) SetPolicy(current *policy.Policy) {
 	c.mu.Lock()
 	c.policy = current
@@ -131,7 +132,7 @@
 	}
 }
 
-// SetWave takes a wave of upkeep.
+// SetWave adds or updates a maintenance wave.
 func (c *Control) SetWave(wave fleet.WaveRow) {
 	c.mu.Lock()
 	c.waves[wave.Number] = wave
@@ -142,7 +143,7 @@
 	}
 }
 
-// current returns the leadership if it knows all jobs.
+// current returns the running term once it has loaded all jobs, else nil.
 func (c *Control) current() *term {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +167,7 @@
 	for _, value := range submissions {
 		submission, err := job.DecodeSubmission(value)
 		if err != nil {
-			c.config.Journal.Info("job not readable", "error", err.Error())
+			c.config.Journal.Info("submitted job cannot be decoded", "error", err.Error())
 			continue
 		}
 		t.accept(submission)
@@ -195,8 +196,8 @@
 	return t.leader.StateOf(id)
 }
 
-// Largest returns the most that one host has of each resource, or zeros
-// while this process does not lead.
+// MaxHostResources returns, per resource, the largest amount that a single host
+// has, or zeros while this process does not lead.
 func (c *Control) MaxHostResources() policy.Resources {
 	t := c.current()
 	if t == nil {
@@ -218,7 +219,8 @@
 	return t.leader.Waiting()
 }
 
-// Dump returns the leader's state for operators, or nil if this process does not lead.
+// Dump returns the leader's state for the operators' state dump, or nil if this
+// process does not lead.
 func (c *Control) Dump() any {
 	t := c.current()
 	if t == nil {
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	// orderSenders is how many orders are under way to one endpoint at a time.
+	// sendersPerEndpoint is the number of concurrent orders to one endpoint.
 	sendersPerEndpoint = 3
-	// pendingOrders is how many orders wait for one endpoint.
+	// orderQueueSize is the number of orders that may wait for one endpoint.
 	orderQueueSize = 256
-	// lookPause is the time before an endpoint is asked again that did not answer.
+	// renewRetryDelay is the time between a failed lease renewal and the next.
 	renewRetryDelay = 150 * time.Millisecond
-	// idlePause is the longest time between two checks whether a look is due.
+	// maxRenewWait is the longest time between two checks whether a renewal is due.
 	maxRenewWait = 500 * time.Millisecond
-	// endsPause gathers ends: an endpoint with many short tasks would answer each one alone.
+	// completionBatchDelay delays the next renewal after a report of completed
+	// runs: an endpoint with many short tasks would else report each one alone.
 	completionBatchDelay = 15 * time.Millisecond
 )
 
-// order is one order to an endpoint; one field is set.
+// order is an order to an endpoint; exactly one field is set.
 type order struct {
 	start    *fleet.Start
 	stop     *fleet.Stop
 	throttle *fleet.Pace
 }
 
-// endpointWorker speaks with one endpoint.
+// endpointSession sends orders and lease renewals to one endpoint during a term.
 type endpointSession struct {
 	term   *term
 	id     fleet.EndpointID
 	orders chan order
 	wake   chan struct{}
-	// ctx ends when the endpoint is forgotten.
+	// ctx ends when the leader drops the endpoint.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// syncWorkers starts workers for new endpoints and ends those of forgotten ones;
-// r.mu is held.
+// syncSessions starts sessions for new endpoints and ends those of endpoints
+// that the leader has dropped; t.mu must be held.
 func (t *term) syncSessions() {
 	known := map[fleet.EndpointID]bool{}
 	for _, id := range t.leader.EndpointIDs() {
@@ -58,7 +59,7 @@
 	}
 }
 
-// startWorker starts the loops for one endpoint.
+// startSession starts the loops for one endpoint.
 func (t *term) startSession(id fleet.EndpointID) {
 	ctx, cancel := context.WithCancel(t.ctx)
 	session := &endpointSession{term: t, id: id, ctx: ctx, orders: make(chan order, orderQueueSize), wake: make(chan struct{}, 1), cancel: cancel}
@@ -69,18 +70,18 @@
 	}
 }
 
-// run runs a loop until the endpoint is forgotten, the leadership ends, or another
-// loop of the group has found a broken invariant.
-func (w *endpointSession) run(groupCtx context.Context, loop func(ctx context.Context)) {
+// run runs a loop until the leader drops the endpoint, the term ends, or another
+// loop of the group panics.
+func (s *endpointSession) run(groupCtx context.Context, loop func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(groupCtx)
 	defer cancel()
-	stop := context.AfterFunc(w.ctx, cancel)
+	stop := context.AfterFunc(s.ctx, cancel)
 	defer stop()
 	loop(ctx)
 }
 
-// send queues an order; r.mu is held. An order without a place in the queue
-// was not sent.
+// queueOrder queues an order; t.mu must be held. A start that finds the queue
+// full is reported to the leader as unsent.
 func (t *term) queueOrder(session *endpointSession, next order) {
 	if session != nil {
 		select {
@@ -95,7 +96,7 @@
 	}
 }
 
-// wakeEndpoints lets the workers look whether ends can be acknowledged.
+// wakeEndpoints lets the sessions check whether completions can be acknowledged.
 func (t *term) wakeEndpoints() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,29 +105,29 @@
 	}
 }
 
-// address returns where the endpoint is.
-func (w *endpointSession) address() (fleet.EndpointAddress, bool) {
-	w.term.mu.Lock()
-	defer w.term.mu.Unlock()
-	return w.term.leader.AddressOf(w.id)
+// address returns the endpoint's address, if the leader knows it.
+func (s *endpointSession) address() (fleet.EndpointAddress, bool) {
+	s.term.mu.Lock()
+	defer s.term.mu.Unlock()
+	return s.term.leader.AddressOf(s.id)
 }
 
 // orderLoop sends orders one after the other.
-func (w *endpointSession) orderLoop(ctx context.Context) {
+func (s *endpointSession) orderLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case next := <-w.orders:
-			w.execute(ctx, next)
+		case next := <-s.orders:
+			s.execute(ctx, next)
 		}
 	}
 }
 
-// carryOut sends an order and reports its outcome.
-func (w *endpointSession) execute(ctx context.Context, next order) {
-	t := w.term
-	to, ok := w.address()
+// execute sends an order and reports its outcome to the leader.
+func (s *endpointSession) execute(ctx context.Context, next order) {
+	t := s.term
+	to, ok := s.address()
 	reply := fleet.Reply{Outcome: fleet.OrderUnsent}
 	kind := "pace"
 	isLeader := true
@@ -157,44 +158,45 @@
 		t.config.Lost(t.claim.Token, "an endpoint knows a later leader")
 	}
 	if reply.Outcome != fleet.OrderTaken {
-		signal(w.wake)
-		t.wake()
+		signal(s.wake)
+		t.requestStep()
 	}
 }
 
-// lookLoop looks at the endpoint whenever the leader wants it.
-func (w *endpointSession) renewLoop(ctx context.Context) {
+// renewLoop renews the endpoint's lease whenever the leader says it is due.
+func (s *endpointSession) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		var renewal fleet.Hold
 		isDue := false
-		w.term.locked(func() {
-			renewal, isDue = w.term.leader.NextLook(w.id, time.Now())
+		s.term.locked(func() {
+			renewal, isDue = s.term.leader.NextLook(s.id, time.Now())
 		})
 		if !isDue {
-			w.waitForWake(ctx, maxRenewWait)
+			s.waitForWake(ctx, maxRenewWait)
 			continue
 		}
-		if !w.renewLease(ctx, renewal) {
+		if !s.renewLease(ctx, renewal) {
 			sleep(ctx, renewRetryDelay)
 		}
 	}
 }
 
-// rest waits until something has changed, or for a while.
-func (w *endpointSession) waitForWake(ctx context.Context, d time.Duration) {
+// waitForWake waits for a wake-up, for at most d.
+func (s *endpointSession) waitForWake(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-w.wake:
+	case <-s.wake:
 	case <-timer.C:
 	}
 }
 
-// look makes one look. It reports whether the endpoint answered.
-func (w *endpointSession) renewLease(ctx context.Context, renewal fleet.Hold) bool {
-	t := w.term
-	to, ok := w.address()
+// renewLease sends one lease renewal and passes the endpoint's report to the
+// leader. It reports whether the endpoint accepted the renewal.
+func (s *endpointSession) renewLease(ctx context.Context, renewal fleet.Hold) bool {
+	t := s.term
+	to, ok := s.address()
 	if !ok {
 		return false
 	}
@@ -207,12 +209,12 @@
 	metrics.GetOrCreateCounter(`orders_total{kind="look",outcome="` + string(reply.Outcome) + `"}`).Inc()
 	t.locked(func() {
 		if reply.Outcome == fleet.OrderTaken {
-			t.leader.Looked(w.id, renewal, sentAt, report, now)
+			t.leader.Looked(s.id, renewal, sentAt, report, now)
 		} else {
-			t.leader.LookFailed(w.id, reply, now)
+			t.leader.LookFailed(s.id, reply, now)
 		}
 	})
-	t.wake()
+	t.requestStep()
 	if reply.Outcome == fleet.OrderFenced {
 		t.config.Lost(t.claim.Token, "an endpoint knows a later leader")
 	}
--- a/internal/control/feeds.go
+++ b/internal/control/feeds.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// endpointFeedPause is the time between two answers of the endpoints' feed: each endpoint
-	// writes every second or two, and each answer is charged.
+	// endpointFeedInterval is the pause between two calls of the endpoint feed:
+	// each endpoint writes every second or two, and each answer is charged.
 	endpointFeedInterval = 400 * time.Millisecond
-	// endpointFeedQuick is the same while a host is about to be back.
+	// busyEndpointFeedInterval replaces it while hosts are being changed.
 	busyEndpointFeedInterval = 60 * time.Millisecond
-	// rowFeedPause is the same for jobs, which their ingress tells us of directly.
+	// rowFeedInterval is the pause between two calls of the job and cancel feeds;
+	// the ingress usually notifies the leader directly.
 	rowFeedInterval = 700 * time.Millisecond
-	// feedWait is how long the store may wait for a change.
+	// feedTimeout is the long-poll timeout: how long the store may wait for a change.
 	feedTimeout = 2 * time.Second
-	// feedRetry is the time before a feed that failed is asked again.
+	// feedRetryDelay is the pause after a failed call of a feed.
 	feedRetryDelay = 200 * time.Millisecond
 )
 
@@ -59,7 +60,7 @@
 	}
 }
 
-// listEndpoints reads the whole list.
+// listEndpoints reads the whole list and returns its version.
 func (t *term) listEndpoints(ctx context.Context) (uint64, error) {
 	endpoints, version, err := t.config.EndpointList.All(ctx)
 	if err != nil {
@@ -78,11 +79,11 @@
 			}
 		}
 	})
-	t.wake()
+	t.requestStep()
 	return version, nil
 }
 
-// followEndpoints reads what has changed.
+// followEndpoints reads the changes since a version and returns the next version.
 func (t *term) followEndpoints(ctx context.Context, after uint64) (uint64, error) {
 	listed, gone, next, err := t.config.EndpointList.Changes(ctx, after, feedTimeout)
 	if err != nil {
@@ -97,11 +98,11 @@
 			t.leader.EndpointUnlisted(id, now)
 		}
 	})
-	t.wake()
+	t.requestStep()
 	return next, nil
 }
 
-// rowFeed follows one of our tables; each change goes to take.
+// rowFeed follows one of the fleet's tables and calls apply for each change.
 func (t *term) rowFeed(ctx context.Context, tableName string, apply func(table.Change)) {
 	version, known := uint64(0), false
 	for ctx.Err() == nil {
@@ -127,8 +128,8 @@
 	}
 }
 
-// scanAll reads all parts of a table, and the version to follow from: the
-// oldest of the parts', so that nothing is missed in between.
+// scanAll reads all shards of a table. It returns the version to follow from:
+// that of the first shard read, so that no change is missed in between.
 func (t *term) scanAll(ctx context.Context, tableName string) ([]table.Change, uint64, error) {
 	var changes []table.Change
 	first := uint64(0)
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// hostOrders is how many changes of hosts wait; the platform takes some 60 a second.
+	// hostOrderQueueSize is the number of host changes that may wait; the
+	// platform accepts about 60 per second.
 	hostOrderQueueSize = 128
-	// changesAtOnce is how many changes are announced in one transaction, and
-	// hostCallers how many are under way at a time.
+	// maxChangesPerTxn is the number of changes recorded in one transaction, and
+	// maxHostCalls the number of concurrent calls to the host interface.
 	maxChangesPerTxn = 40
 	maxHostCalls     = 6
-	// pendingAsks is how many questions wait for the advice service.
+	// adviceQueueSize is the number of queries that may wait for the advice service.
 	adviceQueueSize = 64
-	// adviceCallers is how many questions are under way: the service answers one
-	// at a time for each host, and refuses beyond 32 waiting ones.
+	// adviceWorkers is the number of concurrent queries: the service answers one
+	// at a time for each host, and refuses queries when 32 are waiting.
 	adviceWorkers = 4
-	// hostsSlow and hostsQuick are the times between two readings of the
-	// hosts, without and with changes under way.
+	// hostListInterval and busyHostListInterval are the times between two
+	// listings of the hosts, without and with changes in progress.
 	hostListInterval     = 4 * time.Second
 	busyHostListInterval = 300 * time.Millisecond
 )
 
-// hostOrder is a change of a host; one field is set.
+// hostOrder is a change of a host; exactly one field is set.
 type hostOrder struct {
 	move        *fleet.Move
 	maintenance *fleet.Upkeep
 }
 
-// host is the host that is changed.
+// host returns the host that is changed.
 func (o hostOrder) host() fleet.HostID {
 	if o.move != nil {
 		return o.move.Host
@@ -44,7 +45,8 @@
 	return o.maintenance.Host
 }
 
-// sendHost queues a change; r.mu is held.
+// queueHostOrder queues a change, and reports it as refused if the queue is
+// full; t.mu must be held.
 func (t *term) queueHostOrder(next hostOrder) {
 	select {
 	case t.hostOrders <- next:
@@ -53,7 +55,8 @@
 	}
 }
 
-// sendAsk queues a question; r.mu is held.
+// queueAdviceQuery queues a query, and reports it as failed if the queue is
+// full; t.mu must be held.
 func (t *term) queueAdviceQuery(query fleet.Ask) {
 	select {
 	case t.adviceQueries <- query:
@@ -62,7 +65,7 @@
 	}
 }
 
-// hostAnswered reports an outcome; r.mu is held.
+// reportHostChange reports a change's outcome to the leader; t.mu must be held.
 func (t *term) reportHostChange(done hostOrder, outcome fleet.ChangeOutcome) {
 	now := time.Now()
 	if done.move != nil {
@@ -72,8 +75,8 @@
 	t.leader.UpkeepAnswered(*done.maintenance, outcome, now)
 }
 
-// hostLoop sends changes, after it has written which hosts they are for:
-// a leader that comes after this one has to know.
+// hostLoop executes host changes, after it has recorded the hosts in the store:
+// the next leader has to know which changes may be in progress.
 func (t *term) hostLoop(ctx context.Context) {
 	for {
 		select {
@@ -85,7 +88,7 @@
 	}
 }
 
-// gatherChanges takes what waits, up to one transaction's size.
+// collectHostOrders collects the waiting changes, up to one transaction's size.
 func (t *term) collectHostOrders(first hostOrder) []hostOrder {
 	changes := []hostOrder{first}
 	for len(changes) < maxChangesPerTxn {
@@ -99,7 +102,7 @@
 	return changes
 }
 
-// changeHosts writes the intents and carries out the changes.
+// executeHostOrders records the changes in the store and then executes them.
 func (t *term) executeHostOrders(ctx context.Context, changes []hostOrder) {
 	var txn table.Txn
 	for _, next := range changes {
@@ -137,10 +140,10 @@
 	if outcome == fleet.ChangeFenced {
 		t.config.Lost(t.claim.Token, "the host interface knows a later leader")
 	}
-	t.wake()
+	t.requestStep()
 }
 
-// hostFeed reads the hosts, more often while changes are under way.
+// hostFeed lists the hosts periodically, more often while changes are in progress.
 func (t *term) hostFeed(ctx context.Context) {
 	for ctx.Err() == nil {
 		sentAt := time.Now()
@@ -156,7 +159,7 @@
 		if err != nil {
 			t.config.Journal.Info("hosts not read", "error", err.Error())
 		} else {
-			t.wake()
+			t.requestStep()
 		}
 		for waited := time.Duration(0); waited < hostListInterval; waited += busyHostListInterval {
 			if !sleep(ctx, busyHostListInterval) {
@@ -172,7 +175,7 @@
 	}
 }
 
-// adviceLoop asks the advice service.
+// adviceLoop sends the queued queries to the advice service.
 func (t *term) adviceLoop(ctx context.Context) {
 	for {
 		select {
@@ -185,11 +188,12 @@
 			t.locked(func() {
 				t.leader.Advised(query, granted, err == nil, time.Now())
 			})
-			t.wake()
+			t.requestStep()
 		}
 	}
 }
 
-// adviceTimeout bounds a question; it takes what the queue's advice says for
-// each endpoint, after the questions before it.
+// adviceTimeout bounds a query, including the time it waits in the service
+// behind earlier ones. The service needs the queue's configured advice time for
+// each endpoint.
 const adviceTimeout = 10 * time.Second
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -14,7 +14,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// load reads all rows of before, until it works or the leadership ends.
+// load reads the former leaders' rows, retrying until it succeeds or the term ends.
 func (t *term) load() bool {
 	for t.ctx.Err() == nil {
 		started := time.Now()
@@ -24,7 +24,7 @@
 			metrics.GetOrCreateHistogram("leader_load_seconds").UpdateDuration(started)
 			return true
 		}
-		t.config.Journal.Info("rows not loaded", "error", err.Error())
+		t.config.Journal.Info("leader state not loaded from the store", "error", err.Error())
 		if !sleep(t.ctx, loadRetryDelay) {
 			return false
 		}
@@ -32,7 +32,7 @@
 	return false
 }
 
-// begin starts the leader's state from the rows.
+// initLeader initializes the leader's state from the loaded rows.
 func (t *term) initLeader(rows loadedRows) {
 	t.control.mu.Lock()
 	current, waves := t.control.policy, maps.Clone(t.control.waves)
@@ -56,14 +56,14 @@
 	t.loaded = true
 }
 
-// loadedRows is what the store holds when a leadership begins.
+// loadedRows is the stored state that a new leader starts from.
 type loadedRows struct {
 	jobs    []fleet.Stored
 	waves   map[int64]record.Wave
 	changes map[fleet.HostID]record.Change
 }
 
-// readRows reads jobs, cancels, progress, waves and changes of hosts.
+// readRows reads jobs, cancels, progress, waves and host changes.
 func (t *term) readRows() (loadedRows, error) {
 	cancelled := map[job.ID]bool{}
 	stored := map[job.ID]*fleet.Stored{}
@@ -91,7 +91,7 @@
 	return out, err
 }
 
-// readChanges reads when each host was last about to be changed.
+// readChanges reads when a change of each host was last recorded.
 func (t *term) readChanges() (map[fleet.HostID]record.Change, error) {
 	rows, err := t.config.Store.Scan(t.ctx, record.ChangePrefix)
 	if err != nil {
@@ -101,8 +101,8 @@
 	for _, row := range rows {
 		change, err := record.Decode[record.Change](row.Value)
 		if err != nil {
-			t.config.Journal.Info("change not readable", "key", row.Key, "version", row.Version, "error", err.Error())
-			// As if it had been just now.
+			t.config.Journal.Info("host change row cannot be decoded", "key", row.Key, "version", row.Version, "error", err.Error())
+			// Assume that the change has just been recorded.
 			change.At = time.Now().Round(0)
 		}
 		changes[fleet.HostID(record.IDOf(row.Key))] = change
@@ -110,7 +110,7 @@
 	return changes, nil
 }
 
-// readShard reads one part of the jobs and cancels.
+// readShard reads one shard of the jobs and cancels.
 func (t *term) readShard(shard int, stored map[job.ID]*fleet.Stored, cancelled map[job.ID]bool) error {
 	rows, err := t.config.Store.Scan(t.ctx, record.JobPrefix(shard))
 	if err != nil {
@@ -119,7 +119,7 @@
 	for _, row := range rows {
 		submission, err := job.DecodeSubmission(row.Value)
 		if err != nil {
-			t.config.Journal.Info("job not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+			t.config.Journal.Info("job row cannot be decoded", "key", row.Key, "version", row.Version, "error", err.Error())
 			continue
 		}
 		stored[submission.ID] = &fleet.Stored{Submission: submission}
@@ -131,7 +131,7 @@
 	return err
 }
 
-// addProgress decodes a progress row.
+// decodeProgress decodes a progress row into the job that it belongs to.
 func (t *term) decodeProgress(stored map[job.ID]*fleet.Stored, row table.Row) {
 	entry := stored[job.ID(record.IDOf(row.Key))]
 	if entry == nil {
@@ -139,13 +139,13 @@
 	}
 	progress := job.NewProgress()
 	if err := progress.UnmarshalJSON(row.Value); err != nil {
-		t.config.Journal.Info("progress not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+		t.config.Journal.Info("progress row cannot be decoded", "key", row.Key, "version", row.Version, "error", err.Error())
 		return
 	}
 	entry.Progress = progress
 }
 
-// readWaves reads what has been done of each wave.
+// readWaves reads the progress of each maintenance wave.
 func (t *term) readWaves() (map[int64]record.Wave, error) {
 	rows, err := t.config.Store.Scan(t.ctx, record.WavePrefix)
 	if err != nil {
@@ -156,7 +156,7 @@
 		wave, err := record.Decode[record.Wave](row.Value)
 		number, ok := waveNumber(row.Key)
 		if err != nil || !ok {
-			t.config.Journal.Info("wave not readable", "key", row.Key, "version", row.Version)
+			t.config.Journal.Info("wave row cannot be decoded", "key", row.Key, "version", row.Version)
 			continue
 		}
 		waves[number] = wave
@@ -164,12 +164,12 @@
 	return waves, nil
 }
 
-// waveNumber returns the wave that a key names.
+// waveNumber parses the wave's number from a key.
 func waveNumber(key string) (int64, bool) {
 	return parseNumber(strings.TrimPrefix(key, record.WavePrefix))
 }
 
-// lookupLoop reads the rows of jobs that endpoints know and the leader does not.
+// lookupLoop reads the rows of jobs that endpoints report and the leader does not know.
 func (t *term) lookupLoop(ctx context.Context) {
 	for {
 		select {
@@ -183,12 +183,12 @@
 			}
 			now := time.Now()
 			t.locked(func() { t.leader.Found(id, stored, now, now) })
-			t.wake()
+			t.requestStep()
 		}
 	}
 }
 
-// readJob reads one job's rows, or nil if it has none.
+// readJob reads one job's rows. It returns nil if the job does not exist.
 func (t *term) readJob(ctx context.Context, id job.ID) (*fleet.Stored, error) {
 	rows, err := t.config.Store.Get(ctx, record.JobKey(id), record.CancelKey(id), record.ProgressKey(id))
 	if err != nil {
--- a/internal/control/term.go
+++ b/internal/control/term.go
@@ -16,33 +16,36 @@
 )
 
 const (
-	// stepEvery is the longest time between two steps, for what depends on time alone.
+	// maxStepInterval is the longest time between two scheduling steps, for
+	// decisions that depend on time alone.
 	maxStepInterval = 100 * time.Millisecond
-	// stepPause gathers events that arrive together into one step.
+	// minStepPause batches events that arrive together into one step.
 	minStepPause = 8 * time.Millisecond
-	// stepRest times what a step took is left for other work before the next one,
-	// up to stepPauseMost: at the peak steps would else take half of the processor.
+	// stepPauseFactor times a step's duration is the pause after it, up to
+	// maxStepPause: at peak load steps would else take half of the CPU.
 	stepPauseFactor = 4
 	maxStepPause    = 50 * time.Millisecond
-	// batchPause is the shortest time between two batches, since each call to the store is charged.
-	batchPause = 30 * time.Millisecond
-	// batchRetry is the time before a batch that was not written is tried again.
+	// minBatchPause is the shortest time between two batches: each call to the
+	// store is charged.
+	minBatchPause = 30 * time.Millisecond
+	// commitRetryDelay is the time before a failed commit is retried.
 	commitRetryDelay = 100 * time.Millisecond
-	// renewEvery is the time between two renewals of the claim.
+	// renewInterval is the time between two renewals of the claim.
 	renewInterval = time.Second
-	// loadRetry is the time before the rows are read again after a failure.
+	// loadRetryDelay is the time before a failed load is retried.
 	loadRetryDelay = 150 * time.Millisecond
-	// pendingLookups is how many jobs wait to be looked up, and lookupReaders how
-	// many are read at a time.
+	// lookupQueueSize is the number of job lookups that may wait, and
+	// lookupWorkers the number of concurrent ones.
 	lookupQueueSize = 256
 	lookupWorkers   = 4
-	// forgetEvery is the time between two removals of old rows, and forgetMost
-	// how many jobs one removes: a transaction has 100 entries.
+	// cleanupInterval is the time between two cleanups of old jobs, and
+	// maxCleanupJobs the number of jobs per cleanup: a transaction has at most
+	// 100 entries.
 	cleanupInterval = 5 * time.Second
 	maxCleanupJobs  = 40
 )
 
-// reign is one leadership.
+// term is one leadership term of this process.
 type term struct {
 	control *Control
 	config  Config
@@ -55,7 +58,7 @@
 	leader   *fleet.Leader
 	loaded   bool
 	sessions map[fleet.EndpointID]*endpointSession
-	// kicks wakes the step loop, dirty the batch loop.
+	// wakeStep wakes stepLoop, wakeBatch wakes batchLoop.
 	wakeStep, wakeBatch chan struct{}
 	hostOrders          chan hostOrder
 	adviceQueries       chan fleet.Ask
@@ -81,7 +84,7 @@
 	return t
 }
 
-// run leads until the leadership's context ends.
+// run leads until the term's context ends.
 func (t *term) run() {
 	if !t.load() {
 		return
@@ -106,16 +109,16 @@
 	t.group.Wait()
 }
 
-// locked runs f under the leader's lock, which it gives back also when f finds
-// a broken invariant: the process has to be able to end.
+// locked runs f under the leader's lock and releases it also when f panics over
+// a broken invariant: otherwise the process could not shut down.
 func (t *term) locked(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f()
 }
 
-// kick asks for a step.
-func (t *term) wake() {
+// requestStep wakes stepLoop and batchLoop.
+func (t *term) requestStep() {
 	signal(t.wakeStep)
 	signal(t.wakeBatch)
 }
@@ -127,7 +130,7 @@
 	}
 }
 
-// sleep waits; it reports whether ctx still lives.
+// sleep waits for d. It returns false early when ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -145,52 +148,52 @@
 	return t.loaded
 }
 
-// setPolicy puts a configuration in force.
+// setPolicy applies a new configuration.
 func (t *term) setPolicy(current *policy.Policy) {
 	t.locked(func() { t.leader.SetPolicy(current) })
-	t.wake()
+	t.requestStep()
 }
 
-// setWave takes a wave.
+// setWave adds or updates a maintenance wave.
 func (t *term) setWave(wave fleet.WaveRow) {
 	t.locked(func() { t.leader.WaveListed(wave, time.Now()) })
-	t.wake()
+	t.requestStep()
 }
 
-// accept takes a job that the store holds.
+// accept adds a job that is stored.
 func (t *term) accept(submission *job.Submission) {
 	now := time.Now()
 	t.locked(func() { t.leader.Accepted(submission, now, now) })
-	t.wake()
+	t.requestStep()
 }
 
-// cancelled takes a cancel that the store holds.
+// cancel applies a cancel that is stored.
 func (t *term) cancel(id job.ID) {
 	t.locked(func() { t.leader.Cancelled(id, time.Now()) })
-	t.wake()
+	t.requestStep()
 }
 
-// jobRow takes a job's row from the feed.
+// applyJobRow handles a job row of the feed.
 func (t *term) applyJobRow(change table.Change) {
 	if change.Removed {
 		return
 	}
 	submission, err := job.DecodeSubmission(change.Row.Value)
 	if err != nil {
-		t.config.Journal.Info("job not readable", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
+		t.config.Journal.Info("job row cannot be decoded", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
 		return
 	}
 	t.accept(submission)
 }
 
-// cancelRow takes a cancel's row from the feed.
+// applyCancelRow handles a cancel row of the feed.
 func (t *term) applyCancelRow(change table.Change) {
 	if !change.Removed {
 		t.cancel(job.ID(record.IDOf(change.Row.Key)))
 	}
 }
 
-// stepLoop lets the leader decide, and sends its orders.
+// stepLoop runs the leader's scheduling steps and queues their orders.
 func (t *term) stepLoop(ctx context.Context) {
 	for {
 		timer := time.NewTimer(maxStepInterval)
@@ -209,7 +212,7 @@
 	}
 }
 
-// step decides once, and returns how long that took.
+// step runs one scheduling step and returns its duration.
 func (t *term) step() time.Duration {
 	started := time.Now()
 	confirmedAt := t.config.MajorityConfirmedAt()
@@ -221,24 +224,24 @@
 	return time.Since(started)
 }
 
-// sendAll queues orders; r.mu is held.
+// queueOrders queues the orders of a step; t.mu must be held.
 func (t *term) queueOrders(orders fleet.Orders) {
 	t.syncSessions()
-	sessions := t.sessions
+	byEndpoint := t.sessions
 	for _, start := range orders.Starts {
-		t.queueOrder(sessions[start.Endpoint], order{start: &start})
+		t.queueOrder(byEndpoint[start.Endpoint], order{start: &start})
 	}
 	for _, stop := range orders.Stops {
-		t.queueOrder(sessions[stop.Endpoint], order{stop: &stop})
+		t.queueOrder(byEndpoint[stop.Endpoint], order{stop: &stop})
 	}
 	for _, throttle := range orders.Paces {
-		t.queueOrder(sessions[throttle.Endpoint], order{throttle: &throttle})
+		t.queueOrder(byEndpoint[throttle.Endpoint], order{throttle: &throttle})
 	}
 	for _, id := range orders.Lookups {
 		select {
 		case t.lookups <- id:
 		default:
-			// It is asked for again.
+			// The leader requests the lookup again.
 		}
 	}
 	for _, query := range orders.Asks {
--- a/internal/control/writer.go
+++ b/internal/control/writer.go
@@ -12,27 +12,29 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// writerConfig is what a writer is built from.
+// writerConfig configures a writer.
 type writerConfig struct {
 	Store   table.Store
 	Journal Journal
 	Token   uint64
-	// ClaimVersion is that of our claim's row.
+	// ClaimVersion is the version of this leader's claim row.
 	ClaimVersion uint64
-	// Confirmed is told when a transaction was sent that the store has taken.
+	// Confirmed is called with the send time of each committed transaction.
 	Confirmed func(sentAt time.Time)
-	// Lost is called when another process holds the claim.
+	// Lost is called when another process has taken the claim.
 	Lost func()
 }
 
-// writer commits a leader's transactions one after the other. Each has the
-// claim and the sequence's row as conditions: a transaction without an answer
-// may be carried out seconds later, and must not undo one that came after it.
+// writer commits a leader's transactions one after the other. Each is
+// conditional on the versions of the claim row and the sequence row: a
+// transaction whose answer was lost may be executed seconds later, and must not
+// undo a newer one.
 type writer struct {
 	config writerConfig
 
 	mu sync.Mutex
-	// number is that of the newest transaction, version the sequence's row.
+	// number is the number of the newest transaction, version the version of
+	// the sequence row; isVersionKnown is false after a lost answer or a conflict.
 	number, version uint64
 	isVersionKnown  bool
 }
@@ -41,8 +43,8 @@
 	return &writer{config: config}
 }
 
-// commit writes a transaction. News is tried again until it is written or the
-// leadership is over. It reports whether the store has taken it.
+// commit writes a transaction and reports whether it is committed. With retry it
+// tries until then or until the term is over.
 func (w *writer) commit(ctx context.Context, txn table.Txn, retry bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,7 +65,7 @@
 	return false
 }
 
-// attempt makes one call. pause is false if another call should follow at once.
+// attempt makes one call. isPauseDue is false if the next attempt may follow at once.
 func (w *writer) attempt(ctx context.Context, txn table.Txn) (done, isPauseDue bool) {
 	if !w.isVersionKnown {
 		done, err := w.resolveOutcome(ctx)
@@ -79,18 +81,19 @@
 		w.config.Confirmed(sentAt)
 		return true, false
 	case table.IsConflict(err), errors.Is(err, table.ErrUnknown):
-		// It may be done, or an earlier one may have been done late.
+		// This transaction may be committed, or an earlier one was executed late.
 		w.isVersionKnown = false
 		return false, !table.IsConflict(err)
 	case errors.Is(err, table.ErrUnavailable):
 		return false, true
 	default:
-		w.config.Journal.Info("rows refused", "rows", len(txn.Writes), "error", err.Error())
+		w.config.Journal.Info("store refused the leader's rows", "rows", len(txn.Writes), "error", err.Error())
 		return false, true
 	}
 }
 
-// guarded adds the conditions, and the sequence's next row as the first write.
+// withConditions adds the conditions on the claim and sequence rows, and the
+// next sequence row as the first write.
 func (w *writer) withConditions(txn table.Txn) table.Txn {
 	next := record.Encode(record.Sequence{Token: w.config.Token, Number: w.number})
 	return table.Txn{
@@ -101,8 +104,8 @@
 	}
 }
 
-// settle reads the claim and the sequence. It reports whether the newest
-// transaction is done.
+// resolveOutcome reads the claim and sequence rows. It reports whether the
+// newest transaction is committed.
 func (w *writer) resolveOutcome(ctx context.Context) (bool, error) {
 	rows, err := w.config.Store.Get(ctx, record.ClaimKey, record.SequenceKey)
 	if err != nil {
@@ -110,7 +113,7 @@
 	}
 	if rows[0].Version != w.config.ClaimVersion {
 		w.config.Lost()
-		return false, errors.New("another process leads")
+		return false, errors.New("commit refused: another process has taken the leadership claim")
 	}
 	w.isVersionKnown, w.version = true, rows[1].Version
 	if rows[1].Version == table.Absent {
@@ -118,7 +121,7 @@
 	}
 	sequence, err := record.Decode[record.Sequence](rows[1].Value)
 	if err != nil {
-		w.config.Journal.Info("sequence not readable", "version", rows[1].Version, "error", err.Error())
+		w.config.Journal.Info("sequence row cannot be decoded", "version", rows[1].Version, "error", err.Error())
 		return false, nil
 	}
 	return sequence.Token == w.config.Token && sequence.Number == w.number, nil
--- a/internal/control/writer_test.go
+++ b/internal/control/writer_test.go
@@ -9,7 +9,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// lateStore loses the answer of one commit and carries it out when told to.
+// delayedStore loses the answer of one commit and executes it later, on
+// applyPending.
 type delayedStore struct {
 	*table.Memory
 	loseNextAnswer, applyNow bool
@@ -28,7 +29,7 @@
 	return table.ErrUnknown
 }
 
-// perform carries the lost transaction out, if its conditions still hold.
+// applyPending executes the delayed transaction, if its conditions still hold.
 func (s *delayedStore) applyPending(ctx context.Context) {
 	_ = s.Memory.Commit(ctx, *s.pending)
 }
@@ -66,9 +67,9 @@
 	return string(rows[0].Value)
 }
 
-// Pattern: late-writes. A batch whose answer was lost is carried out after the
-// next one, and must not bring its older row back.
-func TestLateTransactionsUndoNothing(t *testing.T) {
+// Pattern: late-writes. A batch whose answer was lost is executed after the next
+// one, and must not restore its older row.
+func TestDelayedTransactionUndoesNothing(t *testing.T) {
 	ctx := context.Background()
 	store := &delayedStore{Memory: table.NewMemory()}
 	w := newTestWriter(t, store, func() { t.Error("leadership: got lost, want kept") })
@@ -82,7 +83,7 @@
 	}
 }
 
-func TestLostAnswerOfADoneTransaction(t *testing.T) {
+func TestLostAnswerOfCommittedTransaction(t *testing.T) {
 	ctx := context.Background()
 	store := &delayedStore{Memory: table.NewMemory()}
 	w := newTestWriter(t, store, func() { t.Error("leadership: got lost, want kept") })
@@ -95,8 +96,9 @@
 	}
 }
 
-// What is no news is given up, and may be done late before what follows.
-func TestAbandonedTransactionIsDoneLate(t *testing.T) {
+// A transaction without retry is abandoned after a lost answer, and may be
+// executed before the next one is sent.
+func TestDelayedAbandonedTransaction(t *testing.T) {
 	ctx := context.Background()
 	store := &delayedStore{Memory: table.NewMemory()}
 	w := newTestWriter(t, store, func() { t.Error("leadership: got lost, want kept") })
@@ -116,7 +118,7 @@
 	}
 }
 
-func TestSuccessorEndsTheWriter(t *testing.T) {
+func TestClaimChangeEndsWriter(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	store := table.NewMemory()
 	w := newTestWriter(t, store, cancel)
