--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -49,16 +49,16 @@
 // Fleet asks the fleet's leader, which may be another process.
 type Fleet interface {
 	// Accepted tells the leader of jobs that are stored.
-	Accepted(ctx context.Context, submissions [][]byte)
+	NotifyAccepted(ctx context.Context, submissions [][]byte)
 	// Cancelled tells the leader of a cancel that is stored.
-	Cancelled(ctx context.Context, id job.ID)
+	NotifyCancelled(ctx context.Context, id job.ID)
 	// State returns a job's state; known is false if the leader does not know
 	// the job, and answered if no leader answered.
 	State(ctx context.Context, id job.ID) (state job.State, known, answered bool)
 	// Waiting returns how many of a queue's jobs have not begun.
 	Waiting(ctx context.Context, queue string) (count int, answered bool)
 	// Unservable returns why no endpoint can ever run a step, or "".
-	Unservable(step job.Step) string
+	Unschedulable(step job.Step) string
 }
 
 // Form reads and writes callers' bodies and headers.
@@ -97,7 +97,7 @@
 // New returns a handler. Run has to run for jobs to be accepted.
 func New(config Config) *Ingress {
 	return &Ingress{config: config, writer: newWriter(writerConfig{
-		Store: config.Store, Journal: config.Journal, RowBytes: config.RowBytes, Accepted: config.Fleet.Accepted,
+		Store: config.Store, Journal: config.Journal, RowBytes: config.RowBytes, Accepted: config.Fleet.NotifyAccepted,
 	})}
 }
 
@@ -223,7 +223,7 @@
 		return i.refuse(http.StatusBadRequest, problem, 0)
 	}
 	for number, step := range submission.Steps {
-		if problem := i.config.Fleet.Unservable(step); problem != "" {
+		if problem := i.config.Fleet.Unschedulable(step); problem != "" {
 			return i.refuse(http.StatusBadRequest, "step "+strconv.Itoa(number)+": "+problem, 0)
 		}
 	}
@@ -302,7 +302,7 @@
 	if !i.writer.cancel(ctx, c.id) {
 		return i.refuse(http.StatusGatewayTimeout, "the cancel may not be stored: repeat it", retryAfter)
 	}
-	i.config.Fleet.Cancelled(ctx, c.id)
+	i.config.Fleet.NotifyCancelled(ctx, c.id)
 	return reply{status: http.StatusOK, body: i.config.Form.State(job.Cancelled)}
 }
 
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -30,7 +30,7 @@
 	away     bool
 }
 
-func (f *fleetFake) Accepted(_ context.Context, submissions [][]byte) {
+func (f *fleetFake) NotifyAccepted(_ context.Context, submissions [][]byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.accepted += len(submissions)
@@ -42,7 +42,7 @@
 	return f.accepted
 }
 
-func (f *fleetFake) Cancelled(context.Context, job.ID) {}
+func (f *fleetFake) NotifyCancelled(context.Context, job.ID) {}
 
 func (f *fleetFake) State(_ context.Context, id job.ID) (job.State, bool, bool) {
 	state, ok := f.states[id]
@@ -51,7 +51,7 @@
 
 func (f *fleetFake) Waiting(context.Context, string) (int, bool) { return 7, !f.away }
 
-func (f *fleetFake) Unservable(step job.Step) string {
+func (f *fleetFake) Unschedulable(step job.Step) string {
 	if step.Resources.CPU > 16000 {
 		return "a task is larger than any endpoint"
 	}
--- a/internal/member/claim.go
+++ b/internal/member/claim.go
@@ -14,7 +14,7 @@
 func (n *Node) join(ctx context.Context) {
 	self := record.Member{Name: n.config.Name, Address: n.config.Address, Processor: n.config.Processor}
 	err := n.config.Store.Commit(ctx, table.Txn{Writes: []table.Write{{Key: record.MemberKey(self.Name), Value: record.Encode(self)}}})
-	n.noteStore(err)
+	n.observeStore(err)
 	if err != nil {
 		n.config.Journal.Info("member row not written", "error", err.Error())
 	}
@@ -45,7 +45,7 @@
 func (n *Node) readClaim(ctx context.Context, store table.Store) bool {
 	rows, err := store.Get(ctx, record.ClaimKey, record.RenewalKey)
 	if store == n.config.Store {
-		n.noteStore(err)
+		n.observeStore(err)
 	}
 	if err != nil {
 		return false
@@ -63,17 +63,17 @@
 	}
 	n.mu.Lock()
 	n.claimVersion = rows[0].Version
-	if rows[1].Version != n.renewal {
-		n.renewal = rows[1].Version
+	if rows[1].Version != n.renewalVersion {
+		n.renewalVersion = rows[1].Version
 		n.renewedAt = time.Now()
 	}
 	n.mu.Unlock()
-	n.learn(claim, "store")
+	n.observeClaim(claim, "store")
 	return true
 }
 
 // learn takes a claim that may be newer than ours.
-func (n *Node) learn(claim record.Claim, source string) {
+func (n *Node) observeClaim(claim record.Claim, source string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	isNew := claim.Token > n.claim.Token || claim.Token == n.claim.Token && claim.Released && !n.claim.Released
@@ -85,18 +85,18 @@
 	n.renewedAt = time.Now()
 	if n.leading {
 		n.leading = false
-		n.resign()
+		n.cancelTerm()
 		n.config.Journal.Info("leadership lost", "to", claim.Name, "token", claim.Token)
 	}
-	n.heardAt = time.Now()
+	n.leaderHeardAt = time.Now()
 	if claim.Released {
-		n.heardAt = time.Time{}
+		n.leaderHeardAt = time.Time{}
 	}
-	n.signal()
+	n.wakeUp()
 }
 
 // noteStore remembers whether the store answers us.
-func (n *Node) noteStore(err error) {
+func (n *Node) observeStore(err error) {
 	if errors.Is(err, context.Canceled) {
 		// It was we who broke the call off.
 		return
@@ -117,15 +117,15 @@
 }
 
 // NoteStore is for other callers of the store in this process.
-func (n *Node) NoteStore(err error) {
-	n.noteStore(err)
+func (n *Node) ObserveStore(err error) {
+	n.observeStore(err)
 }
 
 // storeLikely reports whether it is worth asking the store directly.
-func (n *Node) storeLikely() bool {
+func (n *Node) shouldTryStore() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.storeOKAt.After(n.storeFailedAt) || time.Since(n.storeFailedAt) > directPause {
+	if n.storeOKAt.After(n.storeFailedAt) || time.Since(n.storeFailedAt) > directRetryDelay {
 		return true
 	}
 	return len(n.members) == 0
--- a/internal/member/dialer.go
+++ b/internal/member/dialer.go
@@ -16,7 +16,7 @@
 	// dialTimeout bounds the opening of a connection to one.
 	dialTimeout = 300 * time.Millisecond
 	// idlePeerConnections is how many connections to one process are kept.
-	idlePeerConnections = 4
+	maxIdlePeerConns = 4
 )
 
 // dialer keeps one client for each address.
@@ -29,7 +29,7 @@
 func newDialer() *dialer {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
-		MaxIdleConnsPerHost: idlePeerConnections,
+		MaxIdleConnsPerHost: maxIdlePeerConns,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
--- /dev/null
+++ b/internal/member/exclusion_test.go
@@ -0,0 +1,38 @@
+package member
+
+import (
+	"testing"
+	"time"
+)
+
+func TestPassedOver(t *testing.T) {
+	type observation struct {
+		after                  time.Duration
+		isServed, isPeerServed bool
+	}
+	tests := map[string]struct {
+		observations []observation
+		want         bool
+	}{
+		"away for all":                     {observations: []observation{{0, false, false}, {4 * time.Second, false, false}}},
+		"back for a peer a moment earlier": {observations: []observation{{0, false, false}, {4 * time.Second, false, true}, {time.Second / 2, true, true}}},
+		"back for a peer, just now":        {observations: []observation{{0, false, false}, {4 * time.Second, false, true}}},
+		"back for a peer, not for us":      {observations: []observation{{0, false, false}, {time.Second, false, true}, {time.Second, false, true}}, want: true},
+		"away for us alone":                {observations: []observation{{0, false, true}}, want: true},
+		"served in between":                {observations: []observation{{0, false, false}, {time.Second, true, true}, {time.Second, false, true}}, want: true},
+		"away for all in between":          {observations: []observation{{0, false, false}, {time.Second, false, true}, {time.Second, false, false}, {time.Second, false, true}}},
+	}
+	for name, c := range tests {
+		t.Run(name, func(t *testing.T) {
+			var p storeExclusion
+			now, got := time.Unix(1000, 0), false
+			for _, s := range c.observations {
+				now = now.Add(s.after)
+				got = p.observe(s.isServed, s.isPeerServed, now)
+			}
+			if got != c.want {
+				t.Errorf("passed over: got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/member/fleetclient.go
+++ b/internal/member/fleetclient.go
@@ -11,12 +11,12 @@
 
 const (
 	// askTimeout bounds a question to the leader; the store is the second choice.
-	askTimeout = 600 * time.Millisecond
+	leaderCallTimeout = 600 * time.Millisecond
 	// countAge is how old a queue's count may be that a caller is told (the
 	// platform's page of calls allows 2 s).
-	countAge = 700 * time.Millisecond
+	countCacheTime = 700 * time.Millisecond
 	// countMost is how old it may be when no leader answers.
-	countMost = 2 * time.Second
+	maxCountAge = 2 * time.Second
 )
 
 // FleetClient asks the fleet's leader, in this process or another.
@@ -45,7 +45,7 @@
 
 // Accepted tells the leader of jobs that the store holds. A leader that does
 // not hear it reads them from the store's feed.
-func (f *FleetClient) Accepted(ctx context.Context, submissions [][]byte) {
+func (f *FleetClient) NotifyAccepted(ctx context.Context, submissions [][]byte) {
 	peer, isSelf := f.leader()
 	if isSelf {
 		f.local.Accept(submissions)
@@ -60,7 +60,7 @@
 }
 
 // Cancelled tells the leader of a cancel that the store holds.
-func (f *FleetClient) Cancelled(ctx context.Context, id job.ID) {
+func (f *FleetClient) NotifyCancelled(ctx context.Context, id job.ID) {
 	peer, isSelf := f.leader()
 	if isSelf {
 		f.local.Cancel(id)
@@ -69,7 +69,7 @@
 	if peer == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, leaderCallTimeout)
 	defer cancel()
 	if _, err := peer.Cancel(ctx, &memberpb.CancelRequest{Id: string(id)}); err != nil {
 		f.node.config.Journal.Info("leader not told of a cancel", "request-id", id, "error", err.Error())
@@ -86,7 +86,7 @@
 	if peer == nil {
 		return "", false, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, leaderCallTimeout)
 	defer cancel()
 	reply, err := peer.State(ctx, &memberpb.StateRequest{Id: string(id)})
 	if err != nil || !reply.Leading {
@@ -103,29 +103,29 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.waitingAt) < countAge {
+	if time.Since(f.waitingAt) < countCacheTime {
 		return int(f.waiting[queue]), true
 	}
 	if peer != nil {
-		asking, cancel := context.WithTimeout(ctx, askTimeout)
-		reply, err := peer.Waiting(asking, &memberpb.WaitingRequest{})
+		callCtx, cancel := context.WithTimeout(ctx, leaderCallTimeout)
+		reply, err := peer.Waiting(callCtx, &memberpb.WaitingRequest{})
 		cancel()
 		if err == nil && reply.Leading {
 			f.waiting, f.waitingAt = reply.Waiting, time.Now()
 		}
 	}
-	if time.Since(f.waitingAt) > countMost {
+	if time.Since(f.waitingAt) > maxCountAge {
 		return 0, false
 	}
 	return int(f.waiting[queue]), true
 }
 
 // Unservable returns why no host can ever run a step's task, or "".
-func (f *FleetClient) Unservable(step job.Step) string {
+func (f *FleetClient) Unschedulable(step job.Step) string {
 	f.node.mu.Lock()
-	largest := f.node.largest
+	largest := f.node.maxHostResources
 	f.node.mu.Unlock()
-	if own := f.node.config.Largest(); own.CPU > 0 {
+	if own := f.node.config.MaxHostResources(); own.CPU > 0 {
 		largest = own
 	}
 	if largest.CPU > 0 && !step.Reserved().Fits(largest) {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -20,11 +20,11 @@
 )
 
 // patience bounds waiting for a condition that has to come true.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-type silent struct{}
+type discardJournal struct{}
 
-func (silent) Info(string, ...any) {}
+func (discardJournal) Info(string, ...any) {}
 
 type noFleet struct{}
 
@@ -39,40 +39,40 @@
 func (noPolicy) Newer(uint64) (uint64, []byte) { return 0, nil }
 
 // gate is a store that turns one process away.
-type gate struct {
+type blockableStore struct {
 	table.Store
-	mu   sync.Mutex
-	shut bool
+	mu      sync.Mutex
+	blocked bool
 }
 
-func (g *gate) set(shut bool) {
+func (g *blockableStore) setBlocked(blocked bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = shut
+	g.blocked = blocked
 }
 
-func (g *gate) isShut() bool {
+func (g *blockableStore) isBlocked() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.shut
+	return g.blocked
 }
 
-func (g *gate) Get(ctx context.Context, keys ...string) ([]table.Row, error) {
-	if g.isShut() {
+func (g *blockableStore) Get(ctx context.Context, keys ...string) ([]table.Row, error) {
+	if g.isBlocked() {
 		return nil, table.ErrUnavailable
 	}
 	return g.Store.Get(ctx, keys...)
 }
 
-func (g *gate) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
-	if g.isShut() {
+func (g *blockableStore) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
+	if g.isBlocked() {
 		return nil, table.ErrUnavailable
 	}
 	return g.Store.Scan(ctx, prefix)
 }
 
-func (g *gate) Commit(ctx context.Context, txn table.Txn) error {
-	if g.isShut() {
+func (g *blockableStore) Commit(ctx context.Context, txn table.Txn) error {
+	if g.isBlocked() {
 		return table.ErrUnavailable
 	}
 	return g.Store.Commit(ctx, txn)
@@ -83,7 +83,7 @@
 	node *member.Node
 	// address is where it serves the others.
 	address netip.AddrPort
-	gate    *gate
+	store   *blockableStore
 	server  *http.Server
 	stop    context.CancelFunc
 	ended   chan struct{}
@@ -94,28 +94,28 @@
 
 func newProcess(t *testing.T, name string, store table.Store) *process {
 	t.Helper()
-	return newProcessOf(t, name, store, 1)
+	return newProcessWithCPU(t, name, store, 1)
 }
 
 // newProcessOf starts a process with some of a processor.
-func newProcessOf(t *testing.T, name string, store table.Store, processor float64) *process {
+func newProcessWithCPU(t *testing.T, name string, store table.Store, processor float64) *process {
 	t.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{address: netip.MustParseAddrPort(socket.Addr().String()), gate: &gate{Store: store}, ended: make(chan struct{})}
+	p := &process{address: netip.MustParseAddrPort(socket.Addr().String()), store: &blockableStore{Store: store}, ended: make(chan struct{})}
 	p.node = member.New(member.Config{
-		Name: name, Address: netip.MustParseAddrPort(socket.Addr().String()), Store: p.gate, Journal: silent{}, Processor: processor,
+		Name: name, Address: netip.MustParseAddrPort(socket.Addr().String()), Store: p.store, Journal: discardJournal{}, Processor: processor,
 		Won: func(_ context.Context, claim record.Claim, _ uint64) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.tokens = append(p.tokens, claim.Token)
 		},
-		PolicyVersion: func() uint64 { return 0 },
-		Largest:       func() policy.Resources { return policy.Resources{} },
+		PolicyVersion:    func() uint64 { return 0 },
+		MaxHostResources: func() policy.Resources { return policy.Resources{} },
 	})
-	service := member.NewService(member.ServiceConfig{Node: p.node, Fleet: noFleet{}, Policy: noPolicy{}, Hint: func(uint64, record.Member) {}})
+	service := member.NewService(member.ServiceConfig{Node: p.node, Fleet: noFleet{}, Policy: noPolicy{}, PolicyHint: func(uint64, record.Member) {}})
 	p.server = &http.Server{Handler: memberpb.NewMemberServer(service), ReadHeaderTimeout: time.Second}
 	served := make(chan struct{})
 	go func() {
@@ -149,7 +149,7 @@
 }
 
 // newest is the token of the process's last leadership.
-func (p *process) newest() uint64 {
+func (p *process) latestToken() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.tokens) == 0 {
@@ -159,31 +159,31 @@
 }
 
 // leaderOf waits for one process to lead with a token above one that is given.
-func leaderOf(t *testing.T, above uint64, processes ...*process) *process {
+func waitForLeader(t *testing.T, above uint64, processes ...*process) *process {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, p := range processes {
-			if p.leads() && p.newest() > above {
+			if p.leads() && p.latestToken() > above {
 				return p
 			}
 		}
 	}
-	t.Fatalf("leader with a token above %d: got none within %s, want one", above, patience)
+	t.Fatalf("leader with a token above %d: got none within %s, want one", above, waitTimeout)
 	return nil
 }
 
 // others lists the processes but one.
-func others(processes []*process, not *process) []*process {
+func processesExcept(processes []*process, except *process) []*process {
 	var rest []*process
 	for _, p := range processes {
-		if p != not {
+		if p != except {
 			rest = append(rest, p)
 		}
 	}
 	return rest
 }
 
-func three(t *testing.T, store table.Store) []*process {
+func startThree(t *testing.T, store table.Store) []*process {
 	t.Helper()
 	return []*process{newProcess(t, "a", store), newProcess(t, "b", store), newProcess(t, "c", store)}
 }
@@ -192,16 +192,16 @@
 	ends := map[string]func(p *process){
 		"killed":                 func(p *process) { p.kill() },
 		"stopped in order":       func(p *process) { p.node.Stop(context.Background()) },
-		"turned away by a store": func(p *process) { p.gate.set(true); p.node.NoteStore(table.ErrUnavailable) },
+		"turned away by a store": func(p *process) { p.store.setBlocked(true); p.node.ObserveStore(table.ErrUnavailable) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			processes := three(t, table.NewMemory())
-			first := leaderOf(t, 0, processes...)
+			processes := startThree(t, table.NewMemory())
+			first := waitForLeader(t, 0, processes...)
 			end(first)
-			second := leaderOf(t, first.newest(), others(processes, first)...)
-			if got, want := second.newest(), first.newest(); got <= want {
+			second := waitForLeader(t, first.latestToken(), processesExcept(processes, first)...)
+			if got, want := second.latestToken(), first.latestToken(); got <= want {
 				t.Errorf("token: got %d, want above %d", got, want)
 			}
 		})
@@ -210,23 +210,23 @@
 
 // The leader that stops hands over to a process that does not.
 func TestStoppingProcessesAreNotAskedToLead(t *testing.T) {
-	processes := three(t, table.NewMemory())
-	first := leaderOf(t, 0, processes...)
-	rest := others(processes, first)
+	processes := startThree(t, table.NewMemory())
+	first := waitForLeader(t, 0, processes...)
+	rest := processesExcept(processes, first)
 	rest[0].node.Stop(context.Background())
-	lead := &memberpb.LeadRequest{Token: first.newest()}
+	lead := &memberpb.LeadRequest{Token: first.latestToken()}
 	if _, err := first.node.Dial(rest[0].address).Lead(context.Background(), lead); err == nil {
 		t.Error("a stopping process that is asked: got yes, want an error")
 	}
 	first.node.Stop(context.Background())
-	leaderOf(t, first.newest(), rest[1])
+	waitForLeader(t, first.latestToken(), rest[1])
 }
 
 // A call that we broke off ourselves says nothing about the store.
 func TestOwnCancelIsNoSignOfTheStore(t *testing.T) {
 	p := newProcess(t, "a", table.NewMemory())
-	leaderOf(t, 0, p)
-	p.node.NoteStore(errors.Mark(context.Canceled, table.ErrUnavailable))
+	waitForLeader(t, 0, p)
+	p.node.ObserveStore(errors.Mark(context.Canceled, table.ErrUnavailable))
 	if !p.node.StoreReached() {
 		t.Error("store reached: got false, want true")
 	}
@@ -235,14 +235,14 @@
 // A weak process that leads gives way to a strong one that has come back.
 func TestWeakLeaderYields(t *testing.T) {
 	store := table.NewMemory()
-	strong := newProcessOf(t, "a", store, 0.8)
-	leaderOf(t, 0, strong)
-	weak := newProcessOf(t, "b", store, 0.2)
-	middling := newProcessOf(t, "c", store, 0.3)
+	strong := newProcessWithCPU(t, "a", store, 0.8)
+	waitForLeader(t, 0, strong)
+	weak := newProcessWithCPU(t, "b", store, 0.2)
+	middling := newProcessWithCPU(t, "c", store, 0.3)
 	strong.kill()
-	next := leaderOf(t, 1, weak, middling)
-	again := newProcessOf(t, "a", store, 0.8)
-	leaderOf(t, next.newest(), again)
+	next := waitForLeader(t, 1, weak, middling)
+	again := newProcessWithCPU(t, "a", store, 0.8)
+	waitForLeader(t, next.latestToken(), again)
 	time.Sleep(3 * time.Second)
 	if !again.leads() {
 		t.Error("strong process leads: got false after a while, want true")
@@ -250,11 +250,11 @@
 }
 
 func TestOneLeaderOfMany(t *testing.T) {
-	processes := three(t, table.NewMemory())
-	leaderOf(t, 0, processes...)
+	processes := startThree(t, table.NewMemory())
+	waitForLeader(t, 0, processes...)
 	tokens := map[uint64]bool{}
 	for _, p := range processes {
-		if token := p.newest(); token != 0 {
+		if token := p.latestToken(); token != 0 {
 			if tokens[token] {
 				t.Errorf("token %d: got two leaders, want one", token)
 			}
@@ -265,13 +265,13 @@
 
 func TestStoreThroughAPeer(t *testing.T) {
 	store := table.NewMemory()
-	processes := three(t, store)
-	leaderOf(t, 0, processes...)
+	processes := startThree(t, store)
+	waitForLeader(t, 0, processes...)
 	cut := processes[0]
-	for end := time.Now().Add(patience); len(cut.node.Peers()) < 2 && time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); len(cut.node.Peers()) < 2 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	cut.gate.set(true)
+	cut.store.setBlocked(true)
 	ctx := context.Background()
 	if err := cut.node.Store().Commit(ctx, table.Txn{Writes: []table.Write{{Key: "t/p/k", Value: []byte("v")}}}); err != nil {
 		t.Fatalf("commit: got %v, want done through a peer", err)
@@ -285,7 +285,7 @@
 		t.Errorf("commit under a condition that fails: got %v, want a conflict", err)
 	}
 	for _, p := range processes {
-		p.gate.set(true)
+		p.store.setBlocked(true)
 	}
 	if err := cut.node.Store().Commit(ctx, table.Txn{}); !errors.Is(err, table.ErrUnavailable) {
 		t.Errorf("commit with the store away for all: got %v, want unavailable", err)
@@ -296,10 +296,10 @@
 func TestOnlyProcessesWithTheStoreLead(t *testing.T) {
 	store := table.NewMemory()
 	cut := newProcess(t, "a", store)
-	cut.gate.set(true)
+	cut.store.setBlocked(true)
 	other := newProcess(t, "b", store)
-	leaderOf(t, 0, other)
-	if got := cut.newest(); got != 0 {
+	waitForLeader(t, 0, other)
+	if got := cut.latestToken(); got != 0 {
 		t.Errorf("token of the process without the store: got %d, want none", got)
 	}
 }
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -14,32 +14,32 @@
 
 const (
 	// helloLeast is the time between two calls to the leader in a small fleet.
-	helloLeast = 250 * time.Millisecond
+	minHelloInterval = 250 * time.Millisecond
 	// helloPerMember lengthens it, so that the leader answers about 60 calls a second at most.
-	helloPerMember = 16 * time.Millisecond
+	helloIntervalPerMember = 16 * time.Millisecond
 	// helloTimeout bounds one call.
 	helloTimeout = 400 * time.Millisecond
 	// leaderSilence is how long a leader may be silent before others look for a new one.
-	leaderSilence = 900 * time.Millisecond
+	leaderTimeout = 900 * time.Millisecond
 	// renewalSilence is how long a leader that only we cannot hear may go without
 	// renewing its claim in the store.
-	renewalSilence = 2500 * time.Millisecond
+	renewalTimeout = 2500 * time.Millisecond
 	// membersEvery is the time between two readings of the members' rows by the leader.
-	membersEvery = 3 * time.Second
+	membersInterval = 3 * time.Second
 	// storeSilence is how long a leader keeps its claim while the store turns it
 	// away and serves a peer.
-	storeSilence = time.Second
+	storeOutageTimeout = time.Second
 	// yieldAfter is how long a process leads before it looks for one with yieldFactor
 	// times its processor: a weak one falls behind where there are many hosts, and
 	// each change costs half a second without a leader.
-	yieldAfter  = 2 * time.Second
-	yieldFactor = 2
+	minTermBeforeYield = 2 * time.Second
+	yieldFactor        = 2
 	// spreadMost spreads the candidates' attempts.
-	spreadMost = 120 * time.Millisecond
+	maxCandidateJitter = 120 * time.Millisecond
 	// strongerPause is waited for each process that has more processor, up to
 	// strongerMost.
-	strongerPause = 40 * time.Millisecond
-	strongerMost  = 400 * time.Millisecond
+	strongerPeerDelay = 40 * time.Millisecond
+	maxStrongerDelay  = 400 * time.Millisecond
 )
 
 // Journal takes what a process comes to believe.
@@ -64,7 +64,7 @@
 	PolicyVersion func() uint64
 	// Largest returns the most that one host has of each resource, as far as
 	// this process has led and seen it.
-	Largest func() policy.Resources
+	MaxHostResources func() policy.Resources
 }
 
 // Node is this process among the others.
@@ -78,34 +78,34 @@
 	// claimVersion is the claim row's version, if we know it.
 	claimVersion uint64
 	// followedAt is when each other member last told us that we lead.
-	followedAt map[string]time.Time
-	heardAt    time.Time
-	leading    bool
+	confirmedAt   map[string]time.Time
+	leaderHeardAt time.Time
+	leading       bool
 	// wonAt is when our last leadership began.
 	wonAt time.Time
 	// wished is true once the leader has asked us to take over.
-	wished   bool
-	stopping bool
-	resign   context.CancelFunc
+	takeoverRequested bool
+	stopping          bool
+	cancelTerm        context.CancelFunc
 	// storeOKAt and storeFailedAt are when the store last answered us, or did not.
 	storeOKAt, storeFailedAt time.Time
 	// renewedAt is when the leader's renewal last changed, as far as we have read it.
-	renewal   uint64
-	renewedAt time.Time
+	renewalVersion uint64
+	renewedAt      time.Time
 	// passedOver is for the goroutine of Run alone.
-	passedOver passedOver
+	storeExclusion storeExclusion
 	// peersWithStore lists the members that said that they reach the store.
 	peersWithStore map[string]time.Time
 	// largest is the most that one host has, as the leader told.
-	largest policy.Resources
-	wake    chan struct{}
+	maxHostResources policy.Resources
+	wake             chan struct{}
 }
 
 // New returns a node that knows of no others.
 func New(config Config) *Node {
 	return &Node{
 		config: config, dialer: newDialer(), members: map[string]record.Member{},
-		peersWithStore: map[string]time.Time{}, followedAt: map[string]time.Time{}, wake: make(chan struct{}, 1),
+		peersWithStore: map[string]time.Time{}, confirmedAt: map[string]time.Time{}, wake: make(chan struct{}, 1),
 	}
 }
 
@@ -153,11 +153,11 @@
 func (n *Node) interval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return max(helloLeast, time.Duration(len(n.members))*helloPerMember)
+	return max(minHelloInterval, time.Duration(len(n.members))*helloIntervalPerMember)
 }
 
 // signal wakes the loop; n.mu may be held.
-func (n *Node) signal() {
+func (n *Node) wakeUp() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -34,7 +34,7 @@
 	Fleet  Fleet
 	Policy PolicyHolder
 	// Hint is told of versions that another process has; it must return at once.
-	Hint func(version uint64, from record.Member)
+	PolicyHint func(version uint64, from record.Member)
 }
 
 // Service answers the other processes.
@@ -49,13 +49,13 @@
 
 // Hello implements memberpb.Member.
 func (s *Service) Hello(_ context.Context, view *memberpb.View) (*memberpb.View, error) {
-	s.config.Node.takeView(view)
+	s.config.Node.applyView(view)
 	return s.config.Node.view(), nil
 }
 
 // Lead implements memberpb.Member.
 func (s *Service) Lead(_ context.Context, request *memberpb.LeadRequest) (*memberpb.LeadReply, error) {
-	if !s.config.Node.asked(request.Token) {
+	if !s.config.Node.acceptTakeover(request.Token) {
 		return nil, twirp.NewError(twirp.Unavailable, "this process is stopping, too")
 	}
 	return &memberpb.LeadReply{}, nil
@@ -101,7 +101,7 @@
 // PolicyHint implements memberpb.Member.
 func (s *Service) PolicyHint(_ context.Context, request *memberpb.PolicyHintRequest) (*memberpb.LeadReply, error) {
 	if from, ok := decodeAddress(request.From); ok {
-		s.config.Hint(request.Version, from)
+		s.config.PolicyHint(request.Version, from)
 	}
 	return &memberpb.LeadReply{}, nil
 }
@@ -120,7 +120,7 @@
 }
 
 func (s *Service) rows(rows []table.Row, err error) (*memberpb.RowsReply, error) {
-	s.config.Node.noteStore(err)
+	s.config.Node.observeStore(err)
 	if errors.Is(err, table.ErrUnavailable) {
 		return &memberpb.RowsReply{Unavailable: true}, nil
 	}
--- a/internal/member/store.go
+++ b/internal/member/store.go
@@ -15,10 +15,10 @@
 const (
 	// relayPeers is how many processes are asked to make a call to the store in
 	// our place; more would only add to the store's load while it is away.
-	relayPeers = 3
+	maxRelays = 3
 	// directPause is how long the store is not asked directly after it turned us
 	// away while a peer reached it.
-	directPause = 500 * time.Millisecond
+	directRetryDelay = 500 * time.Millisecond
 )
 
 // Store reaches the platform's store, directly or through a peer that does.
@@ -48,9 +48,9 @@
 func (s *Store) read(ctx context.Context, direct func(context.Context) ([]table.Row, error),
 	relayed func(context.Context, memberpb.Member) (*memberpb.RowsReply, error),
 ) ([]table.Row, error) {
-	if s.node.storeLikely() {
+	if s.node.shouldTryStore() {
 		rows, err := direct(ctx)
-		s.node.noteStore(err)
+		s.node.observeStore(err)
 		if err == nil || !errors.Is(err, table.ErrUnavailable) {
 			return rows, err
 		}
@@ -74,7 +74,7 @@
 
 // CommitVersion implements table.Versioner.
 func (s *Store) CommitVersion(ctx context.Context, txn table.Txn) (uint64, error) {
-	if s.node.storeLikely() {
+	if s.node.shouldTryStore() {
 		version, err := s.node.commit(ctx, txn)
 		if !errors.Is(err, table.ErrUnavailable) {
 			return version, err
@@ -106,7 +106,7 @@
 		key = txn.Writes[0].Key
 	}
 	version, err := table.CommitVersion(ctx, n.config.Store, txn, key)
-	n.noteStore(err)
+	n.observeStore(err)
 	return version, err
 }
 
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -13,36 +13,36 @@
 )
 
 // hello exchanges views. It reports whether the other one leads.
-func (n *Node) helloTo(ctx context.Context, address netip.AddrPort) bool {
+func (n *Node) callHello(ctx context.Context, address netip.AddrPort) bool {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	view, err := n.dialer.dial(address).Hello(ctx, n.view())
 	if err != nil {
 		return false
 	}
-	n.takeView(view)
+	n.applyView(view)
 	if !view.Leading {
 		return false
 	}
 	n.mu.Lock()
-	n.heardAt = time.Now()
+	n.leaderHeardAt = time.Now()
 	n.mu.Unlock()
 	return true
 }
 
 // view is what we tell others.
 func (n *Node) view() *memberpb.View {
-	largest := n.config.Largest()
+	largest := n.config.MaxHostResources()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	heard := time.Since(n.heardAt)
+	sinceHeard := time.Since(n.leaderHeardAt)
 	if n.leading {
-		heard = 0
+		sinceHeard = 0
 	}
 	view := &memberpb.View{
 		From:  &memberpb.Address{Name: n.config.Name, Address: n.config.Address.String(), Processor: n.config.Processor},
 		Token: n.claim.Token, Leading: n.leading, StoreReached: n.storeOKAt.After(n.storeFailedAt),
-		LeaderHeardMs: heard.Milliseconds(), PolicyVersion: n.config.PolicyVersion(),
+		LeaderHeardMs: sinceHeard.Milliseconds(), PolicyVersion: n.config.PolicyVersion(),
 	}
 	if n.claim.Token != 0 {
 		view.Leader = &memberpb.Address{Name: n.claim.Name, Address: n.claim.Address.String()}
@@ -57,9 +57,9 @@
 }
 
 // takeView learns from what another process tells.
-func (n *Node) takeView(view *memberpb.View) {
+func (n *Node) applyView(view *memberpb.View) {
 	if leader, ok := decodeAddress(view.Leader); ok {
-		n.learn(record.Claim{Token: view.Token, Name: leader.Name, Address: leader.Address}, "peer")
+		n.observeClaim(record.Claim{Token: view.Token, Name: leader.Name, Address: leader.Address}, "peer")
 	}
 	from, ok := decodeAddress(view.From)
 	if !ok {
@@ -71,10 +71,10 @@
 		n.members[from.Name] = from
 	}
 	if view.Leading && view.LargestCpu > 0 {
-		n.largest = policy.Resources{CPU: view.LargestCpu, Memory: view.LargestMemory, GPU: view.LargestGpu}
+		n.maxHostResources = policy.Resources{CPU: view.LargestCpu, Memory: view.LargestMemory, GPU: view.LargestGpu}
 	}
 	if n.leading && view.Token <= n.claim.Token {
-		n.followedAt[from.Name] = time.Now()
+		n.confirmedAt[from.Name] = time.Now()
 	}
 	delete(n.peersWithStore, from.Name)
 	if view.StoreReached {
@@ -96,14 +96,14 @@
 }
 
 // ask returns another process's view.
-func (n *Node) ask(ctx context.Context, address netip.AddrPort) (*memberpb.View, error) {
+func (n *Node) fetchView(ctx context.Context, address netip.AddrPort) (*memberpb.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	return n.dialer.dial(address).Hello(ctx, n.view())
 }
 
 // others lists the members but for the leader and ourselves.
-func (n *Node) others() []record.Member {
+func (n *Node) otherMembers() []record.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var others []record.Member
@@ -150,5 +150,5 @@
 		}
 	}
 	all := slices.Concat(first, rest)
-	return all[:min(len(all), relayPeers)]
+	return all[:min(len(all), maxRelays)]
 }
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -111,9 +111,9 @@
 	n.holder = policy.NewHolder(policy.HolderConfig{Decode: platform.DecodePolicy, Changed: n.policyChanged, Journal: n.journal})
 	n.member = member.New(member.Config{
 		Name: settings.Name, Address: settings.Peers, Processor: settings.Processor, Seeds: settings.Seeds, Store: n.store, Journal: n.journal,
-		Won:           func(ctx context.Context, won memberClaim, version uint64) { n.control.Lead(ctx, won, version) },
-		PolicyVersion: n.holder.Version,
-		Largest:       func() policy.Resources { return n.control.MaxHostResources() },
+		Won:              func(ctx context.Context, won memberClaim, version uint64) { n.control.Lead(ctx, won, version) },
+		PolicyVersion:    n.holder.Version,
+		MaxHostResources: func() policy.Resources { return n.control.MaxHostResources() },
 	})
 	var advice control.Advice
 	if settings.Advice.IsValid() {
@@ -127,7 +127,7 @@
 			Client: client, Address: settings.Hosts, Holder: settings.Name, Timeout: hostTimeout,
 		}),
 		Advice: advice, WaveStatus: platform.WaveStatus{}, Bounds: settings.Bounds.FleetBounds(), Journal: n.journal,
-		Lost: n.member.Lost, MajorityConfirmedAt: n.member.Followed, ObserveStore: n.storeAnswered,
+		Lost: n.member.Lost, MajorityConfirmedAt: n.member.MajorityConfirmedAt, ObserveStore: n.storeAnswered,
 	})
 	n.ingress = ingress.New(ingress.Config{
 		Policy: n.holder, Store: n.member.Store(), Fleet: member.NewFleetClient(n.member, n.control),
@@ -141,7 +141,7 @@
 	if errors.Is(err, table.ErrHistoryLost) {
 		err = nil
 	}
-	n.member.NoteStore(err)
+	n.member.ObserveStore(err)
 }
 
 // run opens the ports and works until ctx ends.
@@ -226,7 +226,7 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	})
-	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, Hint: n.takeHint})
+	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, PolicyHint: n.takeHint})
 	ports := []struct {
 		name    string
 		address netip.AddrPort
