--- a/internal/member/claim.go
+++ b/internal/member/claim.go
@@ -10,7 +10,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// join writes our row and reads the others'.
+// join writes this process's member row and reads the other members' rows.
 func (n *Node) join(ctx context.Context) {
 	self := record.Member{Name: n.config.Name, Address: n.config.Address, Processor: n.config.Processor}
 	err := n.config.Store.Commit(ctx, table.Txn{Writes: []table.Write{{Key: record.MemberKey(self.Name), Value: record.Encode(self)}}})
@@ -26,7 +26,7 @@
 func (n *Node) readMembers(ctx context.Context) {
 	rows, err := n.Store().Scan(ctx, record.MemberPrefix)
 	if err != nil {
-		n.config.Journal.Info("members not read", "error", err.Error())
+		n.config.Journal.Info("member rows not read", "error", err.Error())
 		return
 	}
 	n.mu.Lock()
@@ -41,7 +41,8 @@
 	}
 }
 
-// readClaim reads in a store which process leads. It reports whether the store answered.
+// readClaim reads the leadership claim from a store. It reports whether the
+// store answered.
 func (n *Node) readClaim(ctx context.Context, store table.Store) bool {
 	rows, err := store.Get(ctx, record.ClaimKey, record.RenewalKey)
 	if store == n.config.Store {
@@ -58,7 +59,7 @@
 	}
 	claim, err := record.Decode[record.Claim](rows[0].Value)
 	if err != nil {
-		n.config.Journal.Info("claim is not readable", "error", err.Error())
+		n.config.Journal.Info("leadership claim cannot be decoded", "error", err.Error())
 		return false
 	}
 	n.mu.Lock()
@@ -72,7 +73,7 @@
 	return true
 }
 
-// learn takes a claim that may be newer than ours.
+// observeClaim adopts a claim if it is newer than the known one.
 func (n *Node) observeClaim(claim record.Claim, source string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,10 +96,10 @@
 	n.wakeUp()
 }
 
-// noteStore remembers whether the store answers us.
+// observeStore records the result of a direct call to the store.
 func (n *Node) observeStore(err error) {
 	if errors.Is(err, context.Canceled) {
-		// It was we who broke the call off.
+		// This process cancelled the call itself.
 		return
 	}
 	n.mu.Lock()
@@ -116,12 +117,13 @@
 	}
 }
 
-// NoteStore is for other callers of the store in this process.
+// ObserveStore records the result of a store call made by another part of this
+// process.
 func (n *Node) ObserveStore(err error) {
 	n.observeStore(err)
 }
 
-// storeLikely reports whether it is worth asking the store directly.
+// shouldTryStore reports whether to call the store directly.
 func (n *Node) shouldTryStore() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,7 +133,7 @@
 	return len(n.members) == 0
 }
 
-// StoreReached reports whether the store answered our last call.
+// StoreReached reports whether the store answered this process's last call.
 func (n *Node) StoreReached() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/member/dialer.go
+++ b/internal/member/dialer.go
@@ -13,13 +13,13 @@
 const (
 	// peerTimeout bounds a call to another process.
 	peerTimeout = 1500 * time.Millisecond
-	// dialTimeout bounds the opening of a connection to one.
+	// dialTimeout bounds opening a connection to another process.
 	dialTimeout = 300 * time.Millisecond
-	// idlePeerConnections is how many connections to one process are kept.
+	// maxIdlePeerConns is the number of idle connections kept per process.
 	maxIdlePeerConns = 4
 )
 
-// dialer keeps one client for each address.
+// dialer caches one client per address.
 type dialer struct {
 	http    *http.Client
 	mu      sync.Mutex
--- a/internal/member/exclusion.go
+++ b/internal/member/exclusion.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// passedOverLeast is how long, after an outage for all, a leader sees the store
-// serve a peer, but not itself, before it hands over: some processes are served
-// a moment before others.
+// minExclusionTime is how long, after an outage that affected all processes, the
+// store must answer a peer but not the leader before the leader hands over: some
+// processes reach the store again a moment before others.
 const minExclusionTime = time.Second
 
-// passedOver notes since when the store has served a peer but not this process.
+// storeExclusion detects that the store answers a peer but not this process.
 type storeExclusion struct {
 	since time.Time
-	// wasAway is true once the store has served no one known.
+	// wasDown is true after an observation in which the store answered neither
+	// this process nor a peer.
 	wasDown bool
 }
 
-// note takes whether the store serves this process and whether it serves a peer.
-// It reports whether the store turns away this process alone.
+// observe records whether the store answers this process and whether it answers
+// a peer. It reports whether the store is unreachable for this process alone.
 func (p *storeExclusion) observe(isServed, isPeerServed bool, now time.Time) bool {
 	switch {
 	case isServed:
--- a/internal/member/exclusion_test.go
+++ b/internal/member/exclusion_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPassedOver(t *testing.T) {
+func TestStoreExclusion(t *testing.T) {
 	type observation struct {
 		after                  time.Duration
 		isServed, isPeerServed bool
@@ -31,7 +31,7 @@
 				got = p.observe(s.isServed, s.isPeerServed, now)
 			}
 			if got != c.want {
-				t.Errorf("passed over: got %v, want %v", got, c.want)
+				t.Errorf("store unreachable for this process alone: got %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/member/fleetclient.go
+++ b/internal/member/fleetclient.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// askTimeout bounds a question to the leader; the store is the second choice.
+	// leaderCallTimeout bounds a call to the leader; callers then fall back to
+	// the store.
 	leaderCallTimeout = 600 * time.Millisecond
-	// countAge is how old a queue's count may be that a caller is told (the
-	// platform's page of calls allows 2 s).
+	// countCacheTime is how long queue counts are served from the cache (the
+	// platform's API allows counts that are 2 s old).
 	countCacheTime = 700 * time.Millisecond
-	// countMost is how old it may be when no leader answers.
+	// maxCountAge is the maximum age of a count when no leader answers.
 	maxCountAge = 2 * time.Second
 )
 
-// FleetClient asks the fleet's leader, in this process or another.
+// FleetClient calls the fleet's leader, in this process or another.
 type FleetClient struct {
 	node  *Node
 	local Fleet
@@ -29,12 +30,13 @@
 	waitingAt time.Time
 }
 
-// NewFleetClient returns a client; local is this process's own part.
+// NewFleetClient returns a client; local is used while this process leads.
 func NewFleetClient(node *Node, local Fleet) *FleetClient {
 	return &FleetClient{node: node, local: local}
 }
 
-// leader returns the other process's client, or nil if this one leads or none is known.
+// leader returns the client of the leading process, or nil if this process
+// leads or no leader is known.
 func (f *FleetClient) leader() (peer memberpb.Member, isSelf bool) {
 	member, isSelf, ok := f.node.Leader()
 	if isSelf || !ok || !member.Address.IsValid() {
@@ -43,8 +45,8 @@
 	return f.node.Dial(member.Address), false
 }
 
-// Accepted tells the leader of jobs that the store holds. A leader that does
-// not hear it reads them from the store's feed.
+// NotifyAccepted notifies the leader of stored jobs. If that fails, the leader
+// reads them from the store's feed.
 func (f *FleetClient) NotifyAccepted(ctx context.Context, submissions [][]byte) {
 	peer, isSelf := f.leader()
 	if isSelf {
@@ -55,11 +57,11 @@
 		return
 	}
 	if _, err := peer.Accept(ctx, &memberpb.AcceptRequest{Submissions: submissions}); err != nil {
-		f.node.config.Journal.Info("leader not told of jobs", "jobs", len(submissions), "error", err.Error())
+		f.node.config.Journal.Info("leader not notified of accepted jobs", "jobs", len(submissions), "error", err.Error())
 	}
 }
 
-// Cancelled tells the leader of a cancel that the store holds.
+// NotifyCancelled notifies the leader of a stored cancel.
 func (f *FleetClient) NotifyCancelled(ctx context.Context, id job.ID) {
 	peer, isSelf := f.leader()
 	if isSelf {
@@ -72,11 +74,11 @@
 	ctx, cancel := context.WithTimeout(ctx, leaderCallTimeout)
 	defer cancel()
 	if _, err := peer.Cancel(ctx, &memberpb.CancelRequest{Id: string(id)}); err != nil {
-		f.node.config.Journal.Info("leader not told of a cancel", "request-id", id, "error", err.Error())
+		f.node.config.Journal.Info("leader not notified of a cancelled job", "request-id", id, "error", err.Error())
 	}
 }
 
-// State asks for a job's state.
+// State asks the leader for a job's state.
 func (f *FleetClient) State(ctx context.Context, id job.ID) (state job.State, known, answered bool) {
 	peer, isSelf := f.leader()
 	if isSelf {
@@ -95,7 +97,7 @@
 	return job.State(reply.State), reply.Known, true
 }
 
-// Waiting returns how many of a queue's jobs have not begun.
+// Waiting returns the number of a queue's jobs that have not started.
 func (f *FleetClient) Waiting(ctx context.Context, queue string) (int, bool) {
 	peer, isSelf := f.leader()
 	if isSelf && f.local.Leading() {
@@ -120,15 +122,15 @@
 	return int(f.waiting[queue]), true
 }
 
-// Unservable returns why no host can ever run a step's task, or "".
+// Unschedulable returns why no host can ever run a step's task, or "".
 func (f *FleetClient) Unschedulable(step job.Step) string {
 	f.node.mu.Lock()
-	largest := f.node.maxHostResources
+	maxHostResources := f.node.maxHostResources
 	f.node.mu.Unlock()
 	if own := f.node.config.MaxHostResources(); own.CPU > 0 {
-		largest = own
+		maxHostResources = own
 	}
-	if largest.CPU > 0 && !step.Reserved().Fits(largest) {
+	if maxHostResources.CPU > 0 && !step.Reserved().Fits(maxHostResources) {
 		return "a task is larger than any endpoint"
 	}
 	return ""
--- a/internal/member/leadership.go
+++ b/internal/member/leadership.go
@@ -14,7 +14,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// round does what is due: as leader keep the claim, else watch the leader.
+// round runs one iteration of Run: a leader checks that it should still lead,
+// other processes check that the leader is alive.
 func (n *Node) round(ctx context.Context) {
 	n.mu.Lock()
 	leading, stopping, claim := n.leading, n.stopping, n.claim
@@ -34,7 +35,8 @@
 	n.tryTakeOver(ctx)
 }
 
-// lead refreshes the members, and hands over when the store turns away us alone.
+// keepLeading refreshes the members, and hands the leadership over when the
+// store is unreachable for this process alone.
 func (n *Node) keepLeading(ctx context.Context) {
 	n.mu.Lock()
 	sinceStoreOK := time.Since(n.storeOKAt)
@@ -57,17 +59,17 @@
 	}
 }
 
-// reachesStore asks the store once more: it may have come back for all.
+// reachesStore calls the store once more: it may be reachable for all again.
 func (n *Node) reachesStore(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	return n.readClaim(callCtx, n.config.Store)
 }
 
-// succeed takes over if no one leads.
+// tryTakeOver takes over the leadership if there is no live leader.
 func (n *Node) tryTakeOver(ctx context.Context) {
 	n.pause(ctx, n.candidateDelay())
-	// Only a process that reaches the store itself can lead well.
+	// Only a process that reaches the store directly becomes a candidate.
 	if !n.readClaim(ctx, n.config.Store) {
 		return
 	}
@@ -85,8 +87,8 @@
 	n.claimLeadership(ctx)
 }
 
-// candidatePause is how long to wait before taking over: processes with more
-// processor than the others go first, since the leader needs most of it.
+// candidateDelay returns how long to wait before taking over: processes with
+// more CPU go first, since the leader needs the most of it.
 func (n *Node) candidateDelay() time.Duration {
 	n.mu.Lock()
 	if n.takeoverRequested {
@@ -104,9 +106,9 @@
 	return rand.N(maxCandidateJitter) + min(maxStrongerDelay, time.Duration(stronger)*strongerPeerDelay)
 }
 
-// othersMissLeader asks the other members whether they hear the leader. While
-// no one answers we may be the one that is cut off: then the leader's renewal
-// of its claim decides.
+// peersLostLeader asks the other members whether they have lost the leader too.
+// If none answers, this process may be the isolated one: then the age of the
+// leader's last claim renewal decides.
 func (n *Node) peersLostLeader(ctx context.Context, sinceRenewal time.Duration) bool {
 	answered := 0
 	for _, member := range n.otherMembers() {
@@ -117,14 +119,15 @@
 		answered++
 		n.applyView(view)
 		if view.Leading || view.LeaderHeardMs < leaderTimeout.Milliseconds()/2 {
-			n.config.Journal.Info("leader is heard by others", "by", member.Name)
+			n.config.Journal.Info("takeover cancelled: another process hears the leader", "by", member.Name)
 			return false
 		}
 	}
 	return answered > 0 || sinceRenewal > renewalTimeout || len(n.otherMembers()) == 0
 }
 
-// take changes the claim to ours, under the condition that it is as we read it.
+// claimLeadership writes a claim for this process, on the condition that the
+// claim row has not changed since it was read.
 func (n *Node) claimLeadership(ctx context.Context) {
 	n.mu.Lock()
 	next := record.Claim{Token: n.claim.Token + 1, Name: n.config.Name, Address: n.config.Address}
@@ -139,26 +142,27 @@
 	})
 	n.observeStore(err)
 	if err != nil && !errors.Is(err, table.ErrUnknown) {
-		n.config.Journal.Info("claim not taken", "token", next.Token, "error", err.Error())
+		n.config.Journal.Info("leadership claim not written", "token", next.Token, "error", err.Error())
 		n.readClaim(ctx, n.config.Store)
 		return
 	}
-	// The row's new version is part of each later transaction. A lost answer is settled here, too.
+	// The row's new version is a condition of each later transaction. Reading it
+	// also resolves a lost answer.
 	rows, err := n.Store().Get(ctx, record.ClaimKey)
 	if err != nil {
-		n.config.Journal.Info("claim's outcome not known", "token", next.Token, "error", err.Error())
+		n.config.Journal.Info("leadership claim's outcome unknown", "token", next.Token, "error", err.Error())
 		return
 	}
 	current, err := record.Decode[record.Claim](rows[0].Value)
 	if err != nil || current.Token != next.Token || current.Name != next.Name {
-		n.config.Journal.Info("claim taken by another", "token", current.Token, "leader", current.Name)
+		n.config.Journal.Info("leadership claimed by another process", "token", current.Token, "leader", current.Name)
 		n.observeClaim(current, "store")
 		return
 	}
 	n.startTerm(ctx, current, rows[0].Version)
 }
 
-// won starts the leadership.
+// startTerm starts this process's leadership term.
 func (n *Node) startTerm(ctx context.Context, claim record.Claim, version uint64) {
 	termCtx, cancelTerm := context.WithCancel(ctx)
 	n.mu.Lock()
@@ -177,7 +181,8 @@
 	n.config.Won(termCtx, claim, version)
 }
 
-// Lost ends our leadership after the store or an endpoint has shown a later one.
+// Lost ends this process's leadership, for instance after the store or an
+// endpoint has reported a newer leader.
 func (n *Node) Lost(token uint64, why string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -191,8 +196,8 @@
 	n.wakeUp()
 }
 
-// handOver asks a peer to lead that has reached the store while we did not, for
-// some time. It reports whether one has taken over.
+// handOver offers the leadership to a peer that reaches the store while this
+// process has not reached it for some time. It reports whether a peer accepted.
 func (n *Node) handOver(ctx context.Context, why string) bool {
 	n.mu.Lock()
 	token := n.claim.Token
@@ -221,8 +226,8 @@
 	return false
 }
 
-// yield hands the leadership to a much stronger process that has come back, once
-// we have led for a while. It reports whether one has taken over.
+// yieldToStronger hands the leadership to a process with much more CPU, once
+// this one has led for minTermBeforeYield. It reports whether one accepted.
 func (n *Node) yieldToStronger(ctx context.Context) bool {
 	n.mu.Lock()
 	token, termAge := n.claim.Token, time.Since(n.wonAt)
@@ -232,7 +237,7 @@
 	}
 	for _, member := range n.otherMembers() {
 		if member.Processor < yieldFactor*n.config.Processor {
-			// They come in the order of their processors.
+			// Members are sorted by CPU, strongest first.
 			return false
 		}
 		view, err := n.fetchView(ctx, member.Address)
@@ -246,7 +251,8 @@
 	return false
 }
 
-// offer asks a process to lead in our place. It reports whether it will.
+// offerLeadership asks a process to take over the leadership. It reports
+// whether the process accepted.
 func (n *Node) offerLeadership(ctx context.Context, member record.Member, token uint64, why string) bool {
 	callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -259,7 +265,7 @@
 }
 
 // Stop releases the claim, so that a successor takes over at once. The node
-// leads no more.
+// doesn't lead again.
 func (n *Node) Stop(ctx context.Context) {
 	n.mu.Lock()
 	n.stopping = true
@@ -275,7 +281,7 @@
 		Writes:     []table.Write{{Key: record.ClaimKey, Value: record.Encode(claim)}},
 	})
 	if err != nil {
-		n.config.Journal.Info("claim not released", "error", err.Error())
+		n.config.Journal.Info("leadership claim not released", "error", err.Error())
 	}
 	for _, member := range n.otherMembers() {
 		callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
@@ -288,8 +294,8 @@
 	}
 }
 
-// asked takes over on another process's wish, if its claim is the newest. It
-// returns false if this process is about to end itself.
+// acceptTakeover handles the leader's request to take over, if token is the
+// newest. It returns false if this process is stopping too.
 func (n *Node) acceptTakeover(token uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -300,15 +306,16 @@
 		return true
 	}
 	n.takeoverRequested = true
-	// As if the claim were released: the next round takes it.
+	// Treat the claim as released: the next round takes over.
 	n.claim = record.Claim{Token: token, Name: n.claim.Name, Address: n.claim.Address, Released: true}
 	n.leaderHeardAt = time.Time{}
 	n.wakeUp()
 	return true
 }
 
-// Followed returns since when most members have told us that we lead, ourselves
-// among them: of the newest signs of a majority, the oldest.
+// MajorityConfirmedAt returns when a majority of the members, including this
+// process, last confirmed it as leader: the oldest of the majority's newest
+// confirmations.
 func (n *Node) MajorityConfirmedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -19,7 +19,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// patience bounds waiting for a condition that has to come true.
+// waitTimeout bounds waiting for an expected condition.
 const waitTimeout = 60 * time.Second
 
 type discardJournal struct{}
@@ -38,55 +38,55 @@
 
 func (noPolicy) Newer(uint64) (uint64, []byte) { return 0, nil }
 
-// gate is a store that turns one process away.
+// blockableStore is a store that can be made unavailable for one process.
 type blockableStore struct {
 	table.Store
 	mu      sync.Mutex
 	blocked bool
 }
 
-func (g *blockableStore) setBlocked(blocked bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.blocked = blocked
+func (s *blockableStore) setBlocked(blocked bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.blocked = blocked
 }
 
-func (g *blockableStore) isBlocked() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.blocked
+func (s *blockableStore) isBlocked() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.blocked
 }
 
-func (g *blockableStore) Get(ctx context.Context, keys ...string) ([]table.Row, error) {
-	if g.isBlocked() {
+func (s *blockableStore) Get(ctx context.Context, keys ...string) ([]table.Row, error) {
+	if s.isBlocked() {
 		return nil, table.ErrUnavailable
 	}
-	return g.Store.Get(ctx, keys...)
+	return s.Store.Get(ctx, keys...)
 }
 
-func (g *blockableStore) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
-	if g.isBlocked() {
+func (s *blockableStore) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
+	if s.isBlocked() {
 		return nil, table.ErrUnavailable
 	}
-	return g.Store.Scan(ctx, prefix)
+	return s.Store.Scan(ctx, prefix)
 }
 
-func (g *blockableStore) Commit(ctx context.Context, txn table.Txn) error {
-	if g.isBlocked() {
+func (s *blockableStore) Commit(ctx context.Context, txn table.Txn) error {
+	if s.isBlocked() {
 		return table.ErrUnavailable
 	}
-	return g.Store.Commit(ctx, txn)
+	return s.Store.Commit(ctx, txn)
 }
 
-// process is a member with its port.
+// process is a member with its HTTP server.
 type process struct {
 	node *member.Node
-	// address is where it serves the others.
-	address netip.AddrPort
-	store   *blockableStore
-	server  *http.Server
-	stop    context.CancelFunc
-	ended   chan struct{}
+	// address is the address of its server.
+	address        netip.AddrPort
+	blockableStore *blockableStore
+	server         *http.Server
+	stop           context.CancelFunc
+	ended          chan struct{}
 
 	mu     sync.Mutex
 	tokens []uint64
@@ -97,16 +97,16 @@
 	return newProcessWithCPU(t, name, store, 1)
 }
 
-// newProcessOf starts a process with some of a processor.
+// newProcessWithCPU starts a process with a share of a CPU core.
 func newProcessWithCPU(t *testing.T, name string, store table.Store, processor float64) *process {
 	t.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{address: netip.MustParseAddrPort(socket.Addr().String()), store: &blockableStore{Store: store}, ended: make(chan struct{})}
+	p := &process{address: netip.MustParseAddrPort(socket.Addr().String()), blockableStore: &blockableStore{Store: store}, ended: make(chan struct{})}
 	p.node = member.New(member.Config{
-		Name: name, Address: netip.MustParseAddrPort(socket.Addr().String()), Store: p.store, Journal: discardJournal{}, Processor: processor,
+		Name: name, Address: netip.MustParseAddrPort(socket.Addr().String()), Store: p.blockableStore, Journal: discardJournal{}, Processor: processor,
 		Won: func(_ context.Context, claim record.Claim, _ uint64) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -115,7 +115,7 @@
 		PolicyVersion:    func() uint64 { return 0 },
 		MaxHostResources: func() policy.Resources { return policy.Resources{} },
 	})
-	service := member.NewService(member.ServiceConfig{Node: p.node, Fleet: noFleet{}, Policy: noPolicy{}, PolicyHint: func(uint64, record.Member) {}})
+	service := member.NewService(member.ServiceConfig{Node: p.node, Fleet: noFleet{}, Policy: noPolicy{}, OnPolicyHint: func(uint64, record.Member) {}})
 	p.server = &http.Server{Handler: memberpb.NewMemberServer(service), ReadHeaderTimeout: time.Second}
 	served := make(chan struct{})
 	go func() {
@@ -135,7 +135,7 @@
 	return p
 }
 
-// kill ends a process without a word to the others.
+// kill stops a process without notifying the others.
 func (p *process) kill() {
 	p.stop()
 	_ = p.server.Close()
@@ -148,7 +148,7 @@
 	return isSelf
 }
 
-// newest is the token of the process's last leadership.
+// latestToken returns the token of the process's last leadership.
 func (p *process) latestToken() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,7 +158,8 @@
 	return p.tokens[len(p.tokens)-1]
 }
 
-// leaderOf waits for one process to lead with a token above one that is given.
+// waitForLeader waits until one of the processes leads with a token above the
+// given one.
 func waitForLeader(t *testing.T, above uint64, processes ...*process) *process {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// others lists the processes but one.
+// processesExcept returns the processes except one.
 func processesExcept(processes []*process, except *process) []*process {
 	var rest []*process
 	for _, p := range processes {
@@ -192,7 +193,7 @@
 	ends := map[string]func(p *process){
 		"killed":                 func(p *process) { p.kill() },
 		"stopped in order":       func(p *process) { p.node.Stop(context.Background()) },
-		"turned away by a store": func(p *process) { p.store.setBlocked(true); p.node.ObserveStore(table.ErrUnavailable) },
+		"turned away by a store": func(p *process) { p.blockableStore.setBlocked(true); p.node.ObserveStore(table.ErrUnavailable) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
@@ -208,22 +209,22 @@
 	}
 }
 
-// The leader that stops hands over to a process that does not.
-func TestStoppingProcessesAreNotAskedToLead(t *testing.T) {
+// A stopping leader hands over to a process that is not stopping itself.
+func TestStoppingProcessRefusesLeadership(t *testing.T) {
 	processes := startThree(t, table.NewMemory())
 	first := waitForLeader(t, 0, processes...)
 	rest := processesExcept(processes, first)
 	rest[0].node.Stop(context.Background())
 	lead := &memberpb.LeadRequest{Token: first.latestToken()}
 	if _, err := first.node.Dial(rest[0].address).Lead(context.Background(), lead); err == nil {
-		t.Error("a stopping process that is asked: got yes, want an error")
+		t.Error("offering the leadership to a stopping process: got no error, want one")
 	}
 	first.node.Stop(context.Background())
 	waitForLeader(t, first.latestToken(), rest[1])
 }
 
-// A call that we broke off ourselves says nothing about the store.
-func TestOwnCancelIsNoSignOfTheStore(t *testing.T) {
+// A call that the process cancelled itself doesn't count as a store failure.
+func TestOwnCancelIsNoStoreFailure(t *testing.T) {
 	p := newProcess(t, "a", table.NewMemory())
 	waitForLeader(t, 0, p)
 	p.node.ObserveStore(errors.Mark(context.Canceled, table.ErrUnavailable))
@@ -232,7 +233,7 @@
 	}
 }
 
-// A weak process that leads gives way to a strong one that has come back.
+// A leader with little CPU hands over to a stronger process that has restarted.
 func TestWeakLeaderYields(t *testing.T) {
 	store := table.NewMemory()
 	strong := newProcessWithCPU(t, "a", store, 0.8)
@@ -249,7 +250,7 @@
 	}
 }
 
-func TestOneLeaderOfMany(t *testing.T) {
+func TestOneLeaderPerToken(t *testing.T) {
 	processes := startThree(t, table.NewMemory())
 	waitForLeader(t, 0, processes...)
 	tokens := map[uint64]bool{}
@@ -263,7 +264,7 @@
 	}
 }
 
-func TestStoreThroughAPeer(t *testing.T) {
+func TestStoreRelay(t *testing.T) {
 	store := table.NewMemory()
 	processes := startThree(t, store)
 	waitForLeader(t, 0, processes...)
@@ -271,7 +272,7 @@
 	for end := time.Now().Add(waitTimeout); len(cut.node.Peers()) < 2 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	cut.store.setBlocked(true)
+	cut.blockableStore.setBlocked(true)
 	ctx := context.Background()
 	if err := cut.node.Store().Commit(ctx, table.Txn{Writes: []table.Write{{Key: "t/p/k", Value: []byte("v")}}}); err != nil {
 		t.Fatalf("commit: got %v, want done through a peer", err)
@@ -285,18 +286,19 @@
 		t.Errorf("commit under a condition that fails: got %v, want a conflict", err)
 	}
 	for _, p := range processes {
-		p.store.setBlocked(true)
+		p.blockableStore.setBlocked(true)
 	}
 	if err := cut.node.Store().Commit(ctx, table.Txn{}); !errors.Is(err, table.ErrUnavailable) {
-		t.Errorf("commit with the store away for all: got %v, want unavailable", err)
+		t.Errorf("commit while no process reaches the store: got %v, want unavailable", err)
 	}
 }
 
-// A process that the store turns away does not lead, not even through peers.
-func TestOnlyProcessesWithTheStoreLead(t *testing.T) {
+// A process that can't reach the store directly doesn't lead, not even through
+// peers.
+func TestLeaderNeedsStore(t *testing.T) {
 	store := table.NewMemory()
 	cut := newProcess(t, "a", store)
-	cut.store.setBlocked(true)
+	cut.blockableStore.setBlocked(true)
 	other := newProcess(t, "b", store)
 	waitForLeader(t, 0, other)
 	if got := cut.latestToken(); got != 0 {
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -13,61 +13,66 @@
 )
 
 const (
-	// helloLeast is the time between two calls to the leader in a small fleet.
+	// minHelloInterval is the time between two hello calls to the leader in a
+	// small fleet.
 	minHelloInterval = 250 * time.Millisecond
-	// helloPerMember lengthens it, so that the leader answers about 60 calls a second at most.
+	// helloIntervalPerMember scales the interval with the number of members, so
+	// that the leader answers at most about 60 calls per second.
 	helloIntervalPerMember = 16 * time.Millisecond
-	// helloTimeout bounds one call.
+	// helloTimeout bounds one hello call.
 	helloTimeout = 400 * time.Millisecond
-	// leaderSilence is how long a leader may be silent before others look for a new one.
+	// leaderTimeout is how long a leader may be silent before other processes
+	// try to take over.
 	leaderTimeout = 900 * time.Millisecond
-	// renewalSilence is how long a leader that only we cannot hear may go without
-	// renewing its claim in the store.
+	// renewalTimeout is how long a leader may go without renewing its claim in
+	// the store while no other process answers.
 	renewalTimeout = 2500 * time.Millisecond
-	// membersEvery is the time between two readings of the members' rows by the leader.
+	// membersInterval is how often the leader rereads the members' rows.
 	membersInterval = 3 * time.Second
-	// storeSilence is how long a leader keeps its claim while the store turns it
-	// away and serves a peer.
+	// storeOutageTimeout is how long a leader keeps its claim while the store
+	// doesn't answer it but answers a peer.
 	storeOutageTimeout = time.Second
-	// yieldAfter is how long a process leads before it looks for one with yieldFactor
-	// times its processor: a weak one falls behind where there are many hosts, and
-	// each change costs half a second without a leader.
+	// minTermBeforeYield is how long a process leads before it looks for one with
+	// yieldFactor times its CPU: a weak leader falls behind in a large fleet, but
+	// each change of leader costs half a second without one.
 	minTermBeforeYield = 2 * time.Second
 	yieldFactor        = 2
-	// spreadMost spreads the candidates' attempts.
+	// maxCandidateJitter spreads the candidates' attempts.
 	maxCandidateJitter = 120 * time.Millisecond
-	// strongerPause is waited for each process that has more processor, up to
-	// strongerMost.
+	// strongerPeerDelay is a candidate's delay for each member with more CPU, up
+	// to maxStrongerDelay.
 	strongerPeerDelay = 40 * time.Millisecond
 	maxStrongerDelay  = 400 * time.Millisecond
 )
 
-// Journal takes what a process comes to believe.
+// Journal logs events.
 type Journal interface {
 	Info(event string, fields ...any)
 }
 
-// Config is what a Node is built from.
+// Config configures a Node.
 type Config struct {
 	Name    string
 	Address netip.AddrPort
-	// Processor is the part of a core that this process has: those with more take
+	// Processor is this process's share of a CPU core: processes with more take
 	// over first.
 	Processor float64
-	// Seeds are addresses to ask before the store has answered; they may be stale.
+	// Seeds are addresses of peers to use before the store has answered; they
+	// may be stale.
 	Seeds   []netip.AddrPort
 	Store   table.Store
 	Journal Journal
-	// Won is called when this process leads, and must return at once; the
-	// leadership ends with ctx. Policy returns the newest configuration's version.
+	// Won is called when this process becomes the leader, and must return at
+	// once; the leadership ends with ctx. PolicyVersion returns the version of
+	// the newest configuration.
 	Won           func(ctx context.Context, claim record.Claim, version uint64)
 	PolicyVersion func() uint64
-	// Largest returns the most that one host has of each resource, as far as
-	// this process has led and seen it.
+	// MaxHostResources returns, per resource, the largest amount that a single
+	// host has, or zeros while this process does not lead.
 	MaxHostResources func() policy.Resources
 }
 
-// Node is this process among the others.
+// Node is this process as a member of the group.
 type Node struct {
 	config Config
 	dialer *dialer
@@ -75,33 +80,35 @@
 	mu      sync.Mutex
 	members map[string]record.Member
 	claim   record.Claim
-	// claimVersion is the claim row's version, if we know it.
+	// claimVersion is the version of the claim row as last read or written.
 	claimVersion uint64
-	// followedAt is when each other member last told us that we lead.
+	// confirmedAt is when each other member last confirmed this process as leader.
 	confirmedAt   map[string]time.Time
 	leaderHeardAt time.Time
 	leading       bool
-	// wonAt is when our last leadership began.
+	// wonAt is the start of this process's last term.
 	wonAt time.Time
-	// wished is true once the leader has asked us to take over.
+	// takeoverRequested is true once the leader has asked this process to take over.
 	takeoverRequested bool
 	stopping          bool
 	cancelTerm        context.CancelFunc
-	// storeOKAt and storeFailedAt are when the store last answered us, or did not.
+	// storeOKAt and storeFailedAt are the times of the last direct store call
+	// that succeeded and failed.
 	storeOKAt, storeFailedAt time.Time
-	// renewedAt is when the leader's renewal last changed, as far as we have read it.
+	// renewalVersion is the version of the leader's renewal row, and renewedAt
+	// when this process last saw it change.
 	renewalVersion uint64
 	renewedAt      time.Time
-	// passedOver is for the goroutine of Run alone.
+	// storeExclusion is used by Run's goroutine only.
 	storeExclusion storeExclusion
-	// peersWithStore lists the members that said that they reach the store.
+	// peersWithStore holds the members that reported that they reach the store.
 	peersWithStore map[string]time.Time
-	// largest is the most that one host has, as the leader told.
+	// maxHostResources is what the leader last reported of the largest hosts.
 	maxHostResources policy.Resources
 	wake             chan struct{}
 }
 
-// New returns a node that knows of no others.
+// New returns a node that knows no other members yet.
 func New(config Config) *Node {
 	return &Node{
 		config: config, dialer: newDialer(), members: map[string]record.Member{},
@@ -114,7 +121,7 @@
 	return &Store{node: n}
 }
 
-// Leader returns the process that leads the fleet as far as we know.
+// Leader returns the last known leader.
 func (n *Node) Leader() (leader record.Member, isSelf, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,7 +136,7 @@
 	return n.dialer.dial(address)
 }
 
-// Run joins the others and keeps watching the leader until ctx ends.
+// Run joins the group and monitors the leader, or leads, until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	n.join(ctx)
 	for ctx.Err() == nil {
@@ -138,7 +145,7 @@
 	}
 }
 
-// pause waits, or returns early when something has changed.
+// pause waits for d, or until ctx ends or wakeUp is called.
 func (n *Node) pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -149,14 +156,14 @@
 	}
 }
 
-// interval is the time between two rounds.
+// interval returns the time between two rounds.
 func (n *Node) interval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return max(minHelloInterval, time.Duration(len(n.members))*helloIntervalPerMember)
 }
 
-// signal wakes the loop; n.mu may be held.
+// wakeUp wakes Run's loop; n.mu may be held.
 func (n *Node) wakeUp() {
 	select {
 	case n.wake <- struct{}{}:
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -12,9 +12,9 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Fleet is the leader's part in this process, as far as others ask for it.
+// Fleet is the local fleet leader, as the other processes call it.
 type Fleet interface {
-	// Leading reports whether the part runs and knows all jobs.
+	// Leading reports whether this process leads and has loaded all jobs.
 	Leading() bool
 	Accept(submissions [][]byte) bool
 	Cancel(id job.ID) bool
@@ -28,16 +28,17 @@
 	Newer(have uint64) (version uint64, value []byte)
 }
 
-// ServiceConfig is what a Service is built from.
+// ServiceConfig configures a Service.
 type ServiceConfig struct {
 	Node   *Node
 	Fleet  Fleet
 	Policy PolicyHolder
-	// Hint is told of versions that another process has; it must return at once.
-	PolicyHint func(version uint64, from record.Member)
+	// OnPolicyHint is called when another process announces the version of its
+	// configuration; it must return at once.
+	OnPolicyHint func(version uint64, from record.Member)
 }
 
-// Service answers the other processes.
+// Service handles the calls of the other processes.
 type Service struct {
 	config ServiceConfig
 }
@@ -101,13 +102,13 @@
 // PolicyHint implements memberpb.Member.
 func (s *Service) PolicyHint(_ context.Context, request *memberpb.PolicyHintRequest) (*memberpb.LeadReply, error) {
 	if from, ok := decodeAddress(request.From); ok {
-		s.config.PolicyHint(request.Version, from)
+		s.config.OnPolicyHint(request.Version, from)
 	}
 	return &memberpb.LeadReply{}, nil
 }
 
-// Get implements memberpb.Member: the store as this process reaches it, and no
-// other process's relay.
+// Get implements memberpb.Member. It calls the store directly: a relayed call is
+// not relayed again.
 func (s *Service) Get(ctx context.Context, request *memberpb.GetRequest) (*memberpb.RowsReply, error) {
 	rows, err := s.config.Node.config.Store.Get(ctx, request.Keys...)
 	return s.rows(rows, err)
--- a/internal/member/store.go
+++ b/internal/member/store.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// relayPeers is how many processes are asked to make a call to the store in
-	// our place; more would only add to the store's load while it is away.
+	// maxRelays is the number of peers that a call to the store is tried through;
+	// more would only add load while the store is unavailable.
 	maxRelays = 3
-	// directPause is how long the store is not asked directly after it turned us
-	// away while a peer reached it.
+	// directRetryDelay is how long the store is called through peers only after a
+	// direct call failed.
 	directRetryDelay = 500 * time.Millisecond
 )
 
-// Store reaches the platform's store, directly or through a peer that does.
+// Store calls the platform's store, directly or through a peer that reaches it.
 type Store struct {
 	node *Node
 }
@@ -44,7 +44,7 @@
 	})
 }
 
-// read asks the store, and then peers.
+// read calls the store directly, and then through peers.
 func (s *Store) read(ctx context.Context, direct func(context.Context) ([]table.Row, error),
 	relayed func(context.Context, memberpb.Member) (*memberpb.RowsReply, error),
 ) ([]table.Row, error) {
@@ -62,11 +62,11 @@
 			return decodeRows(reply.Rows), nil
 		}
 	}
-	return nil, errors.Mark(errors.New("neither we nor a peer reach the store"), table.ErrUnavailable)
+	return nil, errors.Mark(errors.New("neither this process nor a peer reaches the store"), table.ErrUnavailable)
 }
 
-// Commit implements table.Store. An outcome that is lost is not tried again
-// here: only the caller knows how to find out.
+// Commit implements table.Store. A commit with an unknown outcome is not retried
+// here: only the caller knows how to resolve it.
 func (s *Store) Commit(ctx context.Context, txn table.Txn) error {
 	_, err := s.CommitVersion(ctx, txn)
 	return err
@@ -87,7 +87,7 @@
 			continue
 		}
 		if err != nil {
-			// The peer may have passed it on.
+			// The peer may have relayed the commit.
 			return 0, errors.Mark(errors.Wrap(err, "commit through a peer"), table.ErrUnknown)
 		}
 		if reply.Outcome == memberpb.Outcome_OUTCOME_UNAVAILABLE {
@@ -96,10 +96,10 @@
 		metrics.GetOrCreateCounter(`store_relayed_total{kind="commit"}`).Inc()
 		return reply.Version, decodeOutcome(txn, reply)
 	}
-	return 0, errors.Mark(errors.New("neither we nor a peer reach the store"), table.ErrUnavailable)
+	return 0, errors.Mark(errors.New("neither this process nor a peer reaches the store"), table.ErrUnavailable)
 }
 
-// commit asks the store directly.
+// commit commits directly to the store.
 func (n *Node) commit(ctx context.Context, txn table.Txn) (uint64, error) {
 	key := ""
 	if len(txn.Writes) > 0 {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -12,7 +12,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/record"
 )
 
-// hello exchanges views. It reports whether the other one leads.
+// callHello exchanges views with another process. It reports whether that
+// process leads.
 func (n *Node) callHello(ctx context.Context, address netip.AddrPort) bool {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -30,7 +31,7 @@
 	return true
 }
 
-// view is what we tell others.
+// view returns this process's view of the group, as sent to other members.
 func (n *Node) view() *memberpb.View {
 	largest := n.config.MaxHostResources()
 	n.mu.Lock()
@@ -56,7 +57,7 @@
 	return view
 }
 
-// takeView learns from what another process tells.
+// applyView updates the node's state from another process's view.
 func (n *Node) applyView(view *memberpb.View) {
 	if leader, ok := decodeAddress(view.Leader); ok {
 		n.observeClaim(record.Claim{Token: view.Token, Name: leader.Name, Address: leader.Address}, "peer")
@@ -95,28 +96,30 @@
 	return record.Member{Name: address.Name, Address: parsed, Processor: address.Processor}, err == nil
 }
 
-// ask returns another process's view.
+// fetchView returns another process's view.
 func (n *Node) fetchView(ctx context.Context, address netip.AddrPort) (*memberpb.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	return n.dialer.dial(address).Hello(ctx, n.view())
 }
 
-// others lists the members but for the leader and ourselves.
+// otherMembers returns the members except the leader and this process, those
+// with the most CPU first.
 func (n *Node) otherMembers() []record.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var others []record.Member
+	var otherMembers []record.Member
 	for _, member := range n.members {
 		if member.Name != n.claim.Name {
-			others = append(others, member)
+			otherMembers = append(otherMembers, member)
 		}
 	}
-	slices.SortFunc(others, func(a, b record.Member) int { return cmp.Compare(b.Processor, a.Processor) })
-	return others
+	slices.SortFunc(otherMembers, func(a, b record.Member) int { return cmp.Compare(b.Processor, a.Processor) })
+	return otherMembers
 }
 
-// Peers lists all members but ourselves, or the seeds while none is known.
+// Peers returns all members except this process, or the seeds while no member
+// is known.
 func (n *Node) Peers() []record.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,7 +135,8 @@
 	return peers
 }
 
-// relays lists members to reach the store through, those that said that they do first.
+// relays returns members through which to call the store, those that reported
+// that they reach it first.
 func (n *Node) relays() []record.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -226,7 +226,7 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	})
-	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, PolicyHint: n.takeHint})
+	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, OnPolicyHint: n.takeHint})
 	ports := []struct {
 		name    string
 		address netip.AddrPort
