--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,14 +1,14 @@
-// Package ingress answers callers: it checks keys, queues and bounds, stores
-// what is accepted, and asks the fleet's leader for states and counts.
+// Package ingress is the HTTP API for callers: it checks keys, queues and limits,
+// stores accepted jobs, and asks the fleet's leader for job states and counts.
 //
 // # Usage
 //
-//	handler := ingress.New(ingress.Config{Policy: holder, Jobs: jobs, Fleet: fleet, Form: form, Journal: journal})
+//	handler := ingress.New(ingress.Config{Policy: holder, Jobs: jobs, Fleet: fleet, Codec: codec, Journal: journal})
 //	server.Handler = handler
 //	handler.Run(ctx) // writes accepted jobs until ctx ends
 //
-// A job is accepted when its row is stored. A refusal with 429 or 503 is only
-// given when the row can never be stored by what this process has sent.
+// A job is accepted when its row is stored. A request is refused with 429 or 503
+// only if nothing that this process has sent can still store the row.
 package ingress
 
 import (
@@ -29,16 +29,17 @@
 )
 
 const (
-	// patience is how long a caller waits whose request does not say.
-	patience = 3 * time.Second
-	// answerMargin is left of a caller's patience for the answer's way back.
-	answerMargin = 150 * time.Millisecond
-	// retryAfter is what callers are told to wait while the store is away.
+	// defaultCallerTimeout is the caller's timeout if the request names none.
+	defaultCallerTimeout = 3 * time.Second
+	// responseMargin is the part of the caller's timeout that is reserved for
+	// sending the response.
+	responseMargin = 150 * time.Millisecond
+	// retryAfter is the Retry-After of responses while the store is unavailable.
 	retryAfter = time.Second
-	// idMost bounds what is logged of a path that names no queue.
-	idMost = 32
-	// bodyDefault bounds bodies while the configuration does not.
-	bodyDefault = 256 << 10
+	// maxLoggedIDBytes bounds what is logged of a path that matches no queue.
+	maxLoggedIDBytes = 32
+	// defaultMaxBodyBytes bounds bodies if the configuration sets no limit.
+	defaultMaxBodyBytes = 256 << 10
 )
 
 // PolicyHolder returns the configuration in force, or nil.
@@ -46,58 +47,58 @@
 	Current() *policy.Policy
 }
 
-// Fleet asks the fleet's leader, which may be another process.
+// Fleet calls the fleet's leader, which may be another process.
 type Fleet interface {
-	// Accepted tells the leader of jobs that are stored.
+	// NotifyAccepted notifies the leader of stored jobs.
 	NotifyAccepted(ctx context.Context, submissions [][]byte)
-	// Cancelled tells the leader of a cancel that is stored.
+	// NotifyCancelled notifies the leader of a stored cancel.
 	NotifyCancelled(ctx context.Context, id job.ID)
 	// State returns a job's state; known is false if the leader does not know
-	// the job, and answered if no leader answered.
+	// the job, answered is false if no leader answered.
 	State(ctx context.Context, id job.ID) (state job.State, known, answered bool)
-	// Waiting returns how many of a queue's jobs have not begun.
+	// Waiting returns the number of a queue's jobs that have not started.
 	Waiting(ctx context.Context, queue string) (count int, answered bool)
-	// Unservable returns why no endpoint can ever run a step, or "".
+	// Unschedulable returns why no endpoint can ever run a step, or "".
 	Unschedulable(step job.Step) string
 }
 
-// Form reads and writes callers' bodies and headers.
-type Form interface {
+// Codec decodes callers' bodies and headers and encodes response bodies.
+type Codec interface {
 	Submission(body []byte) (*job.Submission, error)
 	State(state job.State) []byte
 	Waiting(count int) []byte
 	Refusal(reason string) []byte
 	Key(header http.Header) string
-	Patience(header http.Header, fallback time.Duration) time.Duration
+	CallerTimeout(header http.Header, fallback time.Duration) time.Duration
 	ContentType() string
 }
 
-// Journal takes decisions.
+// Journal logs events.
 type Journal interface {
 	Info(event string, fields ...any)
 }
 
-// Config is what an Ingress is built from.
+// Config configures an Ingress.
 type Config struct {
 	Policy  PolicyHolder
 	Store   table.Store
 	Fleet   Fleet
-	Form    Form
+	Codec   Codec
 	Journal Journal
-	// RowBytes is the largest row that the store takes.
+	// RowBytes is the store's maximum row size.
 	RowBytes int
 }
 
-// Ingress is the handler of callers' requests.
+// Ingress is the HTTP handler of callers' requests.
 type Ingress struct {
 	config Config
 	writer *writer
 }
 
-// New returns a handler. Run has to run for jobs to be accepted.
+// New returns a handler. It accepts jobs only while Run is running.
 func New(config Config) *Ingress {
 	return &Ingress{config: config, writer: newWriter(writerConfig{
-		Store: config.Store, Journal: config.Journal, RowBytes: config.RowBytes, Accepted: config.Fleet.NotifyAccepted,
+		Store: config.Store, Journal: config.Journal, RowBytes: config.RowBytes, NotifyAccepted: config.Fleet.NotifyAccepted,
 	})}
 }
 
@@ -106,7 +107,7 @@
 	i.writer.run(ctx)
 }
 
-// call is a request that was matched to a queue.
+// call is a request that matches a queue.
 type call struct {
 	request *http.Request
 	policy  *policy.Policy
@@ -115,15 +116,15 @@
 	account string
 	id      job.ID
 	started time.Time
-	// deadline is when the caller gives up.
+	// deadline is when the response has to be ready.
 	deadline time.Time
 }
 
-// reply is the answer to a caller.
+// reply is the response to a caller.
 type reply struct {
 	status int
 	body   []byte
-	// retryAfter is sent if it is not 0.
+	// retryAfter is sent as Retry-After unless it is 0.
 	retryAfter time.Duration
 	reason     string
 }
@@ -131,25 +132,25 @@
 // ServeHTTP implements http.Handler.
 func (i *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
-	c, refused := i.match(r, started)
-	answer := refused
+	c, refusal := i.match(r, started)
+	answer := refusal
 	if c != nil {
 		ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 		answer = i.serve(ctx, w, c)
 		cancel()
 	}
-	i.note(r, c, answer, started)
-	w.Header().Set("Content-Type", i.config.Form.ContentType())
+	i.logRequest(r, c, answer, started)
+	w.Header().Set("Content-Type", i.config.Codec.ContentType())
 	if answer.retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(max(1, answer.retryAfter.Round(time.Second)/time.Second))))
 	}
 	w.WriteHeader(answer.status)
 	if _, err := w.Write(answer.body); err != nil {
-		i.config.Journal.Info("answer not delivered", "path", r.URL.Path, "error", err.Error())
+		i.config.Journal.Info("response not delivered", "path", r.URL.Path, "error", err.Error())
 	}
 }
 
-// match finds the queue and checks the key.
+// match finds the request's queue and checks the caller's key.
 func (i *Ingress) match(r *http.Request, started time.Time) (*call, reply) {
 	current := i.config.Policy.Current()
 	if current == nil {
@@ -161,14 +162,14 @@
 	}
 	c := &call{request: r, policy: current, queue: queue, started: started}
 	if !queue.Open {
-		account, known := current.AccountOf(i.config.Form.Key(r.Header))
+		account, known := current.AccountOf(i.config.Codec.Key(r.Header))
 		if !known {
 			return nil, i.refuse(http.StatusUnauthorized, "the key is not known", 0)
 		}
 		c.account = account
 	}
 	c.id = job.ID(strings.TrimPrefix(r.URL.Path, queue.PathPrefix))
-	c.deadline = started.Add(max(answerMargin, i.config.Form.Patience(r.Header, patience)-answerMargin))
+	c.deadline = started.Add(max(responseMargin, i.config.Codec.CallerTimeout(r.Header, defaultCallerTimeout)-responseMargin))
 	return c, reply{}
 }
 
@@ -181,7 +182,7 @@
 	return name
 }
 
-// serve answers a request to a queue.
+// serve handles a request to a queue.
 func (i *Ingress) serve(ctx context.Context, w http.ResponseWriter, c *call) reply {
 	switch {
 	case c.request.Method == http.MethodGet && c.id == "":
@@ -199,26 +200,26 @@
 	}
 }
 
-// refuse makes an answer with a reason.
+// refuse returns a response that refuses a request with a reason.
 func (i *Ingress) refuse(status int, reason string, after time.Duration) reply {
-	return reply{status: status, body: i.config.Form.Refusal(reason), retryAfter: after, reason: reason}
+	return reply{status: status, body: i.config.Codec.Refusal(reason), retryAfter: after, reason: reason}
 }
 
-// submit accepts a job.
+// submit validates and stores a job.
 func (i *Ingress) submit(ctx context.Context, w http.ResponseWriter, c *call) reply {
 	limit := c.policy.Limits.BodyBytes
 	if limit <= 0 {
-		limit = bodyDefault
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, c.request.Body, limit))
 	if err != nil {
 		return i.refuse(http.StatusBadRequest, "the body is too large or broke off", 0)
 	}
-	submission, err := i.config.Form.Submission(body)
+	submission, err := i.config.Codec.Submission(body)
 	if err != nil {
 		return i.refuse(http.StatusBadRequest, err.Error(), 0)
 	}
-	c.fill(submission)
+	c.applyQueue(submission)
 	if problem := submission.Validate(); problem != "" {
 		return i.refuse(http.StatusBadRequest, problem, 0)
 	}
@@ -227,11 +228,11 @@
 			return i.refuse(http.StatusBadRequest, "step "+strconv.Itoa(number)+": "+problem, 0)
 		}
 	}
-	return i.submitted(i.writer.accept(ctx, submission))
+	return i.submitReply(i.writer.accept(ctx, submission))
 }
 
-// fill adds what the queue and the key say.
-func (c *call) fill(submission *job.Submission) {
+// applyQueue sets the fields that the queue and the caller's key determine.
+func (c *call) applyQueue(submission *job.Submission) {
 	submission.ID = c.id
 	submission.Queue = c.queue.Name
 	submission.Pool = c.queue.Pool
@@ -243,10 +244,10 @@
 	submission.Accepted = c.started.Round(0)
 }
 
-// submitted turns the outcome of a write into an answer.
-func (i *Ingress) submitted(outcome outcome) reply {
+// submitReply returns the response for a write's outcome.
+func (i *Ingress) submitReply(outcome outcome) reply {
 	switch outcome {
-	case outcomeStored, outcomeKnown:
+	case outcomeStored, outcomeExists:
 		return reply{status: http.StatusOK, body: []byte("{}")}
 	case outcomeRefused:
 		return i.refuse(http.StatusServiceUnavailable, "the store is away; the job was not accepted", retryAfter)
@@ -257,11 +258,11 @@
 	}
 }
 
-// state tells a job's state: the leader's word, or what the store holds.
+// state responds with a job's state, from the leader or else from the store.
 func (i *Ingress) state(ctx context.Context, c *call) reply {
 	state, known, _ := i.config.Fleet.State(ctx, c.id)
 	if known {
-		return reply{status: http.StatusOK, body: i.config.Form.State(state)}
+		return reply{status: http.StatusOK, body: i.config.Codec.State(state)}
 	}
 	state, known, err := i.storedState(ctx, c.id)
 	switch {
@@ -270,20 +271,20 @@
 	case !known:
 		return i.refuse(http.StatusGone, "no such job", 0)
 	default:
-		return reply{status: http.StatusOK, body: i.config.Form.State(state)}
+		return reply{status: http.StatusOK, body: i.config.Codec.State(state)}
 	}
 }
 
-// waiting tells how many jobs of a queue have not begun.
+// waiting responds with the number of a queue's jobs that have not started.
 func (i *Ingress) waiting(ctx context.Context, c *call) reply {
 	count, answered := i.config.Fleet.Waiting(ctx, c.queue.Name)
 	if !answered {
 		return i.refuse(http.StatusServiceUnavailable, "no leader answers", retryAfter)
 	}
-	return reply{status: http.StatusOK, body: i.config.Form.Waiting(count)}
+	return reply{status: http.StatusOK, body: i.config.Codec.Waiting(count)}
 }
 
-// cancel stores a job's cancel before it is confirmed.
+// cancel stores a job's cancel before confirming it to the caller.
 func (i *Ingress) cancel(ctx context.Context, c *call) reply {
 	state, known, _ := i.config.Fleet.State(ctx, c.id)
 	if !known {
@@ -297,27 +298,28 @@
 	case !known:
 		return i.refuse(http.StatusGone, "no such job", 0)
 	case state.Final():
-		return reply{status: http.StatusOK, body: i.config.Form.State(state)}
+		return reply{status: http.StatusOK, body: i.config.Codec.State(state)}
 	}
 	if !i.writer.cancel(ctx, c.id) {
 		return i.refuse(http.StatusGatewayTimeout, "the cancel may not be stored: repeat it", retryAfter)
 	}
 	i.config.Fleet.NotifyCancelled(ctx, c.id)
-	return reply{status: http.StatusOK, body: i.config.Form.State(job.Cancelled)}
+	return reply{status: http.StatusOK, body: i.config.Codec.State(job.Cancelled)}
 }
 
-// note writes the request's line and counts it.
-func (i *Ingress) note(r *http.Request, c *call, answer reply, started time.Time) {
-	// A request without a queue is named by the end of its path, bounded.
+// logRequest logs the request and updates the metrics.
+func (i *Ingress) logRequest(r *http.Request, c *call, answer reply, started time.Time) {
+	// Without a queue the request is identified by the last element of its path,
+	// truncated.
 	id := path.Base(r.URL.Path)
-	id = id[:min(len(id), idMost)]
+	id = id[:min(len(id), maxLoggedIDBytes)]
 	queue, version := "", uint64(0)
 	if c != nil {
 		queue, id, version = c.queue.Name, string(c.id), c.policy.Version
 	}
 	took := time.Since(started)
-	metrics.GetOrCreateCounter(`requests_total{method="` + method(r.Method) + `",status="` + strconv.Itoa(answer.status) + `"}`).Inc()
-	metrics.GetOrCreateHistogram(`request_seconds{method="` + method(r.Method) + `"}`).Update(took.Seconds())
+	metrics.GetOrCreateCounter(`requests_total{method="` + methodLabel(r.Method) + `",status="` + strconv.Itoa(answer.status) + `"}`).Inc()
+	metrics.GetOrCreateHistogram(`request_seconds{method="` + methodLabel(r.Method) + `"}`).Update(took.Seconds())
 	isRead := r.Method == http.MethodGet && answer.status == http.StatusOK
 	if isRead {
 		return
@@ -326,8 +328,9 @@
 		"reason", answer.reason, "configuration", version, "took", took.Round(100*time.Microsecond).String())
 }
 
-// method bounds the metrics' labels.
-func method(name string) string {
+// methodLabel returns a method's metrics label; unknown methods share one, which
+// bounds the number of labels.
+func methodLabel(name string) string {
 	switch name {
 	case http.MethodPost, http.MethodGet, http.MethodDelete:
 		return name
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -22,85 +22,87 @@
 	path   = "/jobs/" + someID
 )
 
-// fleetFake is a leader that answers or does not.
-type fleetFake struct {
+// fakeFleet is a leader that can be made unavailable.
+type fakeFleet struct {
 	mu       sync.Mutex
 	accepted int
 	states   map[job.ID]job.State
-	away     bool
+	isDown   bool
 }
 
-func (f *fleetFake) NotifyAccepted(_ context.Context, submissions [][]byte) {
+func (f *fakeFleet) NotifyAccepted(_ context.Context, submissions [][]byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.accepted += len(submissions)
 }
 
-func (f *fleetFake) told() int {
+func (f *fakeFleet) acceptedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.accepted
 }
 
-func (f *fleetFake) NotifyCancelled(context.Context, job.ID) {}
+func (f *fakeFleet) NotifyCancelled(context.Context, job.ID) {}
 
-func (f *fleetFake) State(_ context.Context, id job.ID) (job.State, bool, bool) {
+func (f *fakeFleet) State(_ context.Context, id job.ID) (job.State, bool, bool) {
 	state, ok := f.states[id]
-	return state, ok && !f.away, !f.away
+	return state, ok && !f.isDown, !f.isDown
 }
 
-func (f *fleetFake) Waiting(context.Context, string) (int, bool) { return 7, !f.away }
+func (f *fakeFleet) Waiting(context.Context, string) (int, bool) { return 7, !f.isDown }
 
-func (f *fleetFake) Unschedulable(step job.Step) string {
+func (f *fakeFleet) Unschedulable(step job.Step) string {
 	if step.Resources.CPU > 16000 {
 		return "a task is larger than any endpoint"
 	}
 	return ""
 }
 
-// form is a plain JSON form of the product's own types.
-type form struct{}
+// jsonCodec is a Codec that encodes the internal types as plain JSON.
+type jsonCodec struct{}
 
-func (form) Submission(body []byte) (*job.Submission, error) {
+func (jsonCodec) Submission(body []byte) (*job.Submission, error) {
 	var out job.Submission
 	err := json.Unmarshal(body, &out)
 	return &out, err
 }
-func (form) State(state job.State) []byte  { return []byte(state) }
-func (form) Waiting(int) []byte            { return []byte("7") }
-func (form) Refusal(reason string) []byte  { return []byte(reason) }
-func (form) Key(header http.Header) string { return header.Get("Key") }
+func (jsonCodec) State(state job.State) []byte  { return []byte(state) }
+func (jsonCodec) Waiting(int) []byte            { return []byte("7") }
+func (jsonCodec) Refusal(reason string) []byte  { return []byte(reason) }
+func (jsonCodec) Key(header http.Header) string { return header.Get("Key") }
 
-func (form) Patience(_ http.Header, _ time.Duration) time.Duration { return 500 * time.Millisecond }
+func (jsonCodec) CallerTimeout(_ http.Header, _ time.Duration) time.Duration {
+	return 500 * time.Millisecond
+}
 
-func (form) ContentType() string { return "application/json" }
+func (jsonCodec) ContentType() string { return "application/json" }
 
-type silent struct{}
+type discardJournal struct{}
 
-func (silent) Info(string, ...any) {}
+func (discardJournal) Info(string, ...any) {}
 
-type holder struct{ current *policy.Policy }
+type staticPolicy struct{ current *policy.Policy }
 
-func (h holder) Current() *policy.Policy { return h.current }
+func (h staticPolicy) Current() *policy.Policy { return h.current }
 
-// bench is an ingress with a store in memory.
-type bench struct {
+// testIngress is an ingress with an in-memory store.
+type testIngress struct {
 	handler *ingress.Ingress
 	store   *table.Memory
-	fleet   *fleetFake
+	fleet   *fakeFleet
 }
 
-func newBench(t *testing.T, current *policy.Policy) *bench {
+func newTestIngress(t *testing.T, current *policy.Policy) *testIngress {
 	t.Helper()
-	b := &bench{store: table.NewMemory(), fleet: &fleetFake{states: map[job.ID]job.State{}}}
-	b.serve(t, holder{current}, b.store)
+	b := &testIngress{store: table.NewMemory(), fleet: &fakeFleet{states: map[job.ID]job.State{}}}
+	b.serve(t, staticPolicy{current}, b.store)
 	return b
 }
 
 // serve runs an ingress over a store until the test ends.
-func (b *bench) serve(t *testing.T, current holder, store table.Store) {
+func (b *testIngress) serve(t *testing.T, current staticPolicy, store table.Store) {
 	t.Helper()
-	handler := ingress.New(ingress.Config{Policy: current, Store: store, Fleet: b.fleet, Form: form{}, Journal: silent{}})
+	handler := ingress.New(ingress.Config{Policy: current, Store: store, Fleet: b.fleet, Codec: jsonCodec{}, Journal: discardJournal{}})
 	b.handler = handler
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -114,7 +116,7 @@
 	})
 }
 
-func (b *bench) call(method, path, key, body string) *httptest.ResponseRecorder {
+func (b *testIngress) call(method, path, key, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, "http://shop.example"+path, strings.NewReader(body))
 	request.Header.Set("Key", key)
 	recorder := httptest.NewRecorder()
@@ -122,7 +124,7 @@
 	return recorder
 }
 
-func shop() *policy.Policy {
+func testPolicy() *policy.Policy {
 	return policy.New(policy.Config{
 		Version:  3,
 		Queues:   []policy.Queue{{Name: "jobs", HostName: "shop.example", PathPrefix: "/jobs/", Pool: "p", MaxAttempts: 2}},
@@ -155,7 +157,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, shop())
+			b := newTestIngress(t, testPolicy())
 			if got := b.call(c.method, c.path, c.key, c.body).Code; got != c.want {
 				t.Errorf("status: got %d, want %d", got, c.want)
 			}
@@ -172,26 +174,26 @@
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	got := newBench(t, nil).call("POST", path, "k1", oneTask)
+	got := newTestIngress(t, nil).call("POST", path, "k1", oneTask)
 	if got.Code != 503 || got.Header().Get("Retry-After") == "" {
 		t.Errorf("answer: got %d with Retry-After %q, want 503 with one", got.Code, got.Header().Get("Retry-After"))
 	}
 }
 
-func TestARepeatIsOneJob(t *testing.T) {
-	b := newBench(t, shop())
+func TestRepeatedSubmission(t *testing.T) {
+	b := newTestIngress(t, testPolicy())
 	for range 2 {
 		if got := b.call("POST", path, "k1", oneTask).Code; got != 200 {
 			t.Errorf("status: got %d, want 200", got)
 		}
 	}
-	if got := b.fleet.told(); got != 1 {
-		t.Errorf("jobs told to the leader: got %d, want 1", got)
+	if got := b.fleet.acceptedCount(); got != 1 {
+		t.Errorf("jobs that the leader was notified of: got %d, want 1", got)
 	}
 }
 
-func TestStoreAway(t *testing.T) {
-	b := newBench(t, shop())
+func TestStoreUnavailable(t *testing.T) {
+	b := newTestIngress(t, testPolicy())
 	b.store.SetFaults(table.Faults{Down: true})
 	got := b.call("POST", path, "k1", oneTask)
 	if got.Code != 503 || got.Header().Get("Retry-After") == "" {
@@ -204,36 +206,37 @@
 	}
 }
 
-// The answer is lost and the row is there: the job is accepted, and the leader told.
-func TestLostAnswerIsSettled(t *testing.T) {
-	b := newBench(t, shop())
+// The store's answer is lost, but the row is stored: the job is accepted, and the
+// leader is notified.
+func TestLostAnswerIsResolved(t *testing.T) {
+	b := newTestIngress(t, testPolicy())
 	b.store.SetFaults(table.Faults{LoseAnswers: true})
 	if got := b.call("POST", path, "k1", oneTask).Code; got != 200 {
 		t.Errorf("status: got %d, want 200", got)
 	}
 	for range 100 {
-		if b.fleet.told() == 1 {
+		if b.fleet.acceptedCount() == 1 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("jobs told to the leader: got %d, want 1", b.fleet.told())
+	t.Errorf("jobs that the leader was notified of: got %d, want 1", b.fleet.acceptedCount())
 }
 
-// blind loses each answer and never performs anything.
-type blind struct{ table.Store }
+// lostAnswerStore loses the answer of each commit and executes none.
+type lostAnswerStore struct{ table.Store }
 
-func (blind) Commit(context.Context, table.Txn) error { return table.ErrUnknown }
+func (lostAnswerStore) Commit(context.Context, table.Txn) error { return table.ErrUnknown }
 
-func TestUnsettledIsNoRefusal(t *testing.T) {
-	b := newBench(t, shop())
-	b.serve(t, holder{shop()}, blind{b.store})
+func TestUnknownOutcomeIsNotRefused(t *testing.T) {
+	b := newTestIngress(t, testPolicy())
+	b.serve(t, staticPolicy{testPolicy()}, lostAnswerStore{b.store})
 	if got := b.call("POST", path, "k1", oneTask).Code; got != 504 {
 		t.Errorf("status: got %d, want 504", got)
 	}
 }
 
-func TestStatesWithoutALeader(t *testing.T) {
+func TestStatesWithoutLeader(t *testing.T) {
 	cases := map[string]struct {
 		progress, cancel bool
 		want             string
@@ -245,8 +248,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, shop())
-			b.fleet.away = true
+			b := newTestIngress(t, testPolicy())
+			b.fleet.isDown = true
 			b.call("POST", path, "k1", oneTask)
 			var writes []table.Write
 			if c.progress {
@@ -266,8 +269,8 @@
 	}
 }
 
-func TestCancelIsStoredFirst(t *testing.T) {
-	b := newBench(t, shop())
+func TestCancelIsStoredBeforeReply(t *testing.T) {
+	b := newTestIngress(t, testPolicy())
 	b.call("POST", path, "k1", oneTask)
 	if got := b.call("DELETE", path, "k1", "").Code; got != 200 {
 		t.Fatalf("status: got %d, want 200", got)
@@ -279,6 +282,6 @@
 	b.store.SetFaults(table.Faults{Down: true})
 	b.fleet.states[someID] = job.Running
 	if got := b.call("DELETE", path, "k1", "").Code; got != 504 {
-		t.Errorf("status while the store is away: got %d, want 504", got)
+		t.Errorf("status while the store is unavailable: got %d, want 504", got)
 	}
 }
--- a/internal/ingress/writer.go
+++ b/internal/ingress/writer.go
@@ -14,56 +14,58 @@
 )
 
 const (
-	// writesAtOnce is how many jobs one transaction holds: each takes two of the
-	// store's 100 entries.
-	writesAtOnce = 45
-	// waitingWrites is how many jobs wait for one part of the store.
-	waitingWrites = 512
-	// writeBytes bounds the rows of one transaction; the store takes 1 MB with encoding.
-	writeBytes = 400 << 10
-	// settlePause is the time between two attempts to settle a lost answer.
-	settlePause = 120 * time.Millisecond
-	// refusedTries is how often a write is tried that the store and the peers refuse.
-	refusedTries = 2
-	// tellTimeout bounds telling the leader.
-	tellTimeout = time.Second
+	// maxWritesPerTxn is the number of jobs per transaction: each takes two of
+	// the store's limit of 100 entries.
+	maxWritesPerTxn = 45
+	// shardQueueSize is the number of jobs that may wait for one shard.
+	shardQueueSize = 512
+	// maxTxnBytes bounds the rows of one transaction; the store's limit is 1 MB
+	// after encoding.
+	maxTxnBytes = 400 << 10
+	// retryDelay is the time between two attempts to write.
+	retryDelay = 120 * time.Millisecond
+	// maxUnavailableAttempts is how often a write is attempted while neither the
+	// store nor a peer accepts it.
+	maxUnavailableAttempts = 2
+	// notifyTimeout bounds notifying the leader.
+	notifyTimeout = time.Second
 )
 
-// outcome is what became of a write.
+// outcome is the outcome of a write.
 type outcome int
 
 const (
-	// outcomeUnsettled jobs may be stored now or later.
-	outcomeUnsettled outcome = iota
-	// outcomeStored jobs are stored by this write.
+	// outcomeUnknown: the job may be stored, now or later.
+	outcomeUnknown outcome = iota
+	// outcomeStored: this write stored the job.
 	outcomeStored
-	// outcomeKnown jobs were stored before.
-	outcomeKnown
-	// outcomeRefused jobs are not stored and never will be by this write.
+	// outcomeExists: the job had been stored before.
+	outcomeExists
+	// outcomeRefused: the job is not stored, and this write never will store it.
 	outcomeRefused
-	// outcomeTooLarge jobs do not fit a row.
+	// outcomeTooLarge: the job exceeds the store's row size.
 	outcomeTooLarge
 )
 
-// writerConfig is what a writer is built from.
+// writerConfig configures a writer.
 type writerConfig struct {
-	Store    table.Store
-	Journal  Journal
-	RowBytes int
-	Accepted func(ctx context.Context, submissions [][]byte)
+	Store          table.Store
+	Journal        Journal
+	RowBytes       int
+	NotifyAccepted func(ctx context.Context, submissions [][]byte)
 }
 
-// write is a job on its way into the store.
+// write is a pending write of one job.
 type write struct {
 	ctx   context.Context
 	id    job.ID
 	value []byte
 	done  chan outcome
-	// wasSent is true once an attempt's answer was lost.
-	wasSent bool
+	// maybeStored is true once an attempt's answer was lost.
+	maybeStored bool
 }
 
-// writer stores jobs, many in one transaction.
+// writer stores jobs in batches, one transaction per batch.
 type writer struct {
 	config writerConfig
 	shards [record.JobShards]chan *write
@@ -72,7 +74,7 @@
 func newWriter(config writerConfig) *writer {
 	w := &writer{config: config}
 	for shard := range w.shards {
-		w.shards[shard] = make(chan *write, waitingWrites)
+		w.shards[shard] = make(chan *write, shardQueueSize)
 	}
 	return w
 }
@@ -86,7 +88,7 @@
 	group.Wait()
 }
 
-// accept stores a job and returns what became of it by the time ctx ends.
+// accept stores a job. If ctx ends first, it returns outcomeUnknown.
 func (w *writer) accept(ctx context.Context, submission *job.Submission) outcome {
 	value := record.Encode(submission)
 	if w.config.RowBytes > 0 && len(value) > w.config.RowBytes {
@@ -103,27 +105,27 @@
 	case got := <-entry.done:
 		return got
 	case <-ctx.Done():
-		return outcomeUnsettled
+		return outcomeUnknown
 	}
 }
 
-// shardLoop writes what waits for one part.
+// shardLoop writes the jobs that wait for one shard.
 func (w *writer) shardLoop(ctx context.Context, queue chan *write) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-queue:
-			w.writeAll(ctx, gather(first, queue))
+			w.writeAll(ctx, collectBatch(first, queue))
 		}
 	}
 }
 
-// gather takes what waits, up to one transaction's size.
-func gather(first *write, queue chan *write) []*write {
+// collectBatch collects the waiting writes, up to one transaction's size.
+func collectBatch(first *write, queue chan *write) []*write {
 	entries := []*write{first}
 	size := len(first.value)
-	for len(entries) < writesAtOnce && size < writeBytes {
+	for len(entries) < maxWritesPerTxn && size < maxTxnBytes {
 		select {
 		case next := <-queue:
 			entries = append(entries, next)
@@ -135,9 +137,9 @@
 	return entries
 }
 
-// writeAll writes entries until each is settled or given up by its caller.
+// writeAll writes entries until each has an outcome or its caller has given up.
 func (w *writer) writeAll(ctx context.Context, entries []*write) {
-	refused := 0
+	unavailable := 0
 	for len(entries) > 0 && ctx.Err() == nil {
 		entries = w.dropAbandoned(entries)
 		if len(entries) == 0 {
@@ -147,32 +149,33 @@
 		var conflict *table.ConflictError
 		switch {
 		case err == nil:
-			w.stored(ctx, entries)
+			w.finishStored(ctx, entries)
 			return
 		case errors.As(err, &conflict):
-			entries = w.settleKnown(ctx, entries, conflict)
+			entries = w.resolveConflict(ctx, entries, conflict)
 		case errors.Is(err, table.ErrUnknown):
-			// The row may be there: the same transaction tells, by its condition.
+			// The rows may be stored: retrying the same transaction finds out,
+			// since its condition fails for rows that exist.
 			metrics.GetOrCreateCounter("accept_answers_lost_total").Inc()
 			for _, entry := range entries {
-				entry.wasSent = true
+				entry.maybeStored = true
 			}
 			w.sleep(ctx)
 		case errors.Is(err, table.ErrUnavailable):
-			refused++
-			if refused >= refusedTries {
+			unavailable++
+			if unavailable >= maxUnavailableAttempts {
 				entries = w.refuse(entries)
 			}
 			w.sleep(ctx)
 		default:
-			w.config.Journal.Info("jobs not taken by the store", "jobs", len(entries), "error", err.Error())
+			w.config.Journal.Info("store refused the jobs' rows", "jobs", len(entries), "error", err.Error())
 			entries = w.refuse(entries)
 		}
 	}
 }
 
 func (w *writer) sleep(ctx context.Context) {
-	timer := time.NewTimer(settlePause)
+	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -180,8 +183,8 @@
 	}
 }
 
-// dropAbandoned leaves out entries whose callers have been answered. One that
-// was never sent is not stored.
+// dropAbandoned drops entries whose callers have given up. An entry that was
+// never sent is not stored.
 func (w *writer) dropAbandoned(entries []*write) []*write {
 	var kept []*write
 	for _, entry := range entries {
@@ -192,7 +195,7 @@
 	return kept
 }
 
-// commit writes all entries under the condition that none of them is there.
+// commit writes all entries, on the condition that none of them exists.
 func (w *writer) commit(ctx context.Context, entries []*write) error {
 	var txn table.Txn
 	for _, entry := range entries {
@@ -203,43 +206,45 @@
 	return w.config.Store.Commit(ctx, txn)
 }
 
-// stored answers the callers and tells the leader.
-func (w *writer) stored(ctx context.Context, entries []*write) {
+// finishStored answers the callers and notifies the leader.
+func (w *writer) finishStored(ctx context.Context, entries []*write) {
 	values := make([][]byte, 0, len(entries))
 	for _, entry := range entries {
 		values = append(values, entry.value)
 		entry.done <- outcomeStored
 	}
-	telling, cancel := context.WithTimeout(ctx, tellTimeout)
+	notifyCtx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
-	w.config.Accepted(telling, values)
+	w.config.NotifyAccepted(notifyCtx, values)
 }
 
-// settleKnown takes out the entry whose row exists already.
-func (w *writer) settleKnown(ctx context.Context, entries []*write, conflict *table.ConflictError) []*write {
+// resolveConflict completes the entry whose row exists already, and returns the
+// other entries.
+func (w *writer) resolveConflict(ctx context.Context, entries []*write, conflict *table.ConflictError) []*write {
 	var rest []*write
 	for _, entry := range entries {
 		if record.JobKey(entry.id) != conflict.Key {
 			rest = append(rest, entry)
 			continue
 		}
-		entry.done <- outcomeKnown
-		if entry.wasSent {
-			// It was our own write whose answer was lost: the leader has not been told.
-			telling, cancel := context.WithTimeout(ctx, tellTimeout)
-			w.config.Accepted(telling, [][]byte{entry.value})
+		entry.done <- outcomeExists
+		if entry.maybeStored {
+			// The row is probably this writer's own, from an attempt whose answer was
+			// lost, so the leader has not been notified yet.
+			notifyCtx, cancel := context.WithTimeout(ctx, notifyTimeout)
+			w.config.NotifyAccepted(notifyCtx, [][]byte{entry.value})
 			cancel()
 		}
 	}
 	return rest
 }
 
-// refuse answers the entries of which nothing can be stored any more, and
-// returns those that may be.
+// refuse refuses the entries that are certainly not stored, and returns the
+// others.
 func (w *writer) refuse(entries []*write) []*write {
 	var rest []*write
 	for _, entry := range entries {
-		if entry.wasSent {
+		if entry.maybeStored {
 			rest = append(rest, entry)
 			continue
 		}
@@ -248,7 +253,7 @@
 	return rest
 }
 
-// cancel stores a job's cancel. It reports whether that is sure.
+// cancel stores a job's cancel. It reports whether the store has confirmed it.
 func (w *writer) cancel(ctx context.Context, id job.ID) bool {
 	txn := table.Txn{Writes: []table.Write{{Key: record.CancelKey(id), Value: []byte("{}")}}}
 	for ctx.Err() == nil {
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -131,7 +131,7 @@
 	})
 	n.ingress = ingress.New(ingress.Config{
 		Policy: n.holder, Store: n.member.Store(), Fleet: member.NewFleetClient(n.member, n.control),
-		Form: platform.Form{}, Journal: n.journal, RowBytes: settings.CellBytes,
+		Codec: platform.Form{}, Journal: n.journal, RowBytes: settings.CellBytes,
 	})
 	return n
 }
