--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -11,8 +11,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/share"
 )
 
-// Fill implements node.Part: it adds demand, load and what draining hosts run.
-func (e *Entry) Fill(state *peerpb.State) {
+// FillState implements node.Part: it adds demand, load and what draining hosts run.
+func (e *Entry) FillState(state *peerpb.State) {
 	state.Hosts = e.confirmations()
 	said := e.said.get(e.now(), e.collect)
 	state.Demands = said.demands
@@ -61,8 +61,8 @@
 	return said
 }
 
-// Busy implements node.Part: work runs or waits, or a host drains.
-func (e *Entry) Busy() bool {
+// IsUrgent implements node.Part: work runs or waits, or a host drains.
+func (e *Entry) IsUrgent() bool {
 	if len(e.confirmations()) > 0 {
 		return true
 	}
@@ -71,8 +71,8 @@
 	return busy
 }
 
-// Absorb implements node.Part: it takes another entry's demand and load.
-func (e *Entry) Absorb(from roster.Identity, state *peerpb.State) {
+// ApplyState implements node.Part: it takes another entry's demand and load.
+func (e *Entry) ApplyState(from roster.Identity, state *peerpb.State) {
 	if !e.isEntry(from) {
 		return
 	}
--- a/internal/manager/configuration.go
+++ b/internal/manager/configuration.go
@@ -90,7 +90,7 @@
 			pushes.Go(func() {
 				reply, err := m.node.Dial(member).Push(ctx, message)
 				if err == nil {
-					m.node.NoteInForce(member.Identity, reply.GetRevision())
+					m.node.RecordInForce(member.Identity, reply.GetRevision())
 				}
 			})
 		}
--- a/internal/manager/hosts.go
+++ b/internal/manager/hosts.go
@@ -207,8 +207,8 @@
 	m.assignments.Store(&assignments)
 }
 
-// Busy implements node.Part.
-func (m *Manager) Busy() bool { return m.shards.busy() }
+// IsUrgent implements node.Part.
+func (m *Manager) IsUrgent() bool { return m.shards.busy() }
 
 // Hosts returns the platform's hosts with their assignments.
 func (m *Manager) Hosts(ctx context.Context) ([]api.Host, error) {
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -118,11 +118,11 @@
 	return done
 }
 
-// Fill implements node.Part.
-func (m *Manager) Fill(*peerpb.State) {}
+// FillState implements node.Part.
+func (m *Manager) FillState(*peerpb.State) {}
 
-// Absorb implements node.Part: it takes reports on permits and words on hosts.
-func (m *Manager) Absorb(from roster.Identity, state *peerpb.State) {
+// ApplyState implements node.Part: it takes reports on permits and words on hosts.
+func (m *Manager) ApplyState(from roster.Identity, state *peerpb.State) {
 	m.takeWords(from, state.GetHosts())
 	for _, report := range state.GetReports() {
 		m.takeReport(peer.Report(report))
--- a/internal/manager/shards.go
+++ b/internal/manager/shards.go
@@ -173,7 +173,7 @@
 	for s.reserved[team] < wanted {
 		status := ledger.Status(team)
 		if status.Held || status.InUse >= status.Holding || !ledger.Acquire(team) {
-			s.manager.node.Short(team)
+			s.manager.node.RequestPermits(team)
 			break
 		}
 		s.reserved[team]++
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// quietRounds is the number of gossip intervals between two exchanges while
+	// idleRounds is the number of gossip intervals between two exchanges while
 	// nothing is urgent.
-	quietRounds = 4
-	// activeTime is how long a change of the roster counts as urgent.
-	activeTime = 3 * time.Second
+	idleRounds = 4
+	// urgentTime is how long gossip stays urgent after a roster change.
+	urgentTime = 3 * time.Second
 )
 
 // exchangeTimeout bounds one exchange of states.
 const exchangeTimeout = time.Second
 
-// peerView is what is known of one other member.
+// peerView is the known state of another member.
 type peerView struct {
-	busy atomic.Bool
+	exchanging atomic.Bool
 	// Guarded by Node.mu.
 	answered bool
-	heard    time.Time
+	heardAt  time.Time
 	inForce  uint64
 	permits  map[string]limit.Status
-	// confirms are transfers that the member may stop repeating.
-	confirms []*peerpb.Transfer
+	// confirmations are received transfers to acknowledge, so that the member
+	// stops repeating them.
+	confirmations []*peerpb.Transfer
 }
 
-// PeerStatus is one other member in the state dump.
+// PeerStatus describes another member in the state dump.
 type PeerStatus struct {
 	roster.Member
 	Heard   time.Time `json:"heard"`
 	InForce uint64    `json:"revision-in-force"`
 }
 
-// gossipLoop exchanges states with every other member each interval.
+// gossipLoop runs a gossip round each interval, and only every idleRounds
+// intervals while nothing is urgent.
 func (n *Node) gossipLoop(ctx context.Context) {
 	for round := 0; ; round++ {
 		select {
@@ -51,29 +53,29 @@
 		}
 		n.ledger.Tick(time.Now())
 		n.permitsChanged()
-		if round%quietRounds != 0 && n.quiet() {
+		if round%idleRounds != 0 && n.isIdle() {
 			continue
 		}
 		n.gossip(ctx)
-		n.askForAll()
+		n.requestAllPermits()
 	}
 }
 
-// quiet reports whether nothing here is urgent for the peers to know. A peer
-// that is busy exchanges states with this process of its own accord.
-func (n *Node) quiet() bool {
-	if time.Now().UnixNano() < n.activeUntil.Load() || len(n.ledger.Resend()) > 0 || len(n.ledger.Reports()) > 0 {
+// isIdle reports whether this process has nothing urgent to send. A peer with
+// something urgent starts an exchange itself.
+func (n *Node) isIdle() bool {
+	if time.Now().UnixNano() < n.urgentUntil.Load() || len(n.ledger.Resend()) > 0 || len(n.ledger.Reports()) > 0 {
 		return false
 	}
 	for _, part := range n.parts {
-		if part.Busy() {
+		if part.IsUrgent() {
 			return false
 		}
 	}
 	return true
 }
 
-// gossip starts an exchange with each member that has none under way.
+// gossip starts an exchange with each member that has none in progress.
 func (n *Node) gossip(ctx context.Context) {
 	members, _ := n.Roster()
 	for _, member := range members.Members {
@@ -81,17 +83,17 @@
 			continue
 		}
 		view := n.view(member.Identity)
-		if !view.busy.CompareAndSwap(false, true) {
+		if !view.exchanging.CompareAndSwap(false, true) {
 			continue
 		}
 		n.exchanges.Go(func() {
-			defer view.busy.Store(false)
+			defer view.exchanging.Store(false)
 			n.exchange(ctx, member)
 		})
 	}
 }
 
-// exchange trades states with one member.
+// exchange exchanges states with one member.
 func (n *Node) exchange(ctx context.Context, member roster.Member) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -100,17 +102,17 @@
 	if err != nil {
 		return
 	}
-	// Another process may stand at the member's address by now.
+	// Another process may use the member's address by now.
 	if peer.Identity(reply.GetFrom()) != member.Identity {
 		return
 	}
-	n.noteAnswer(member.Identity)
+	n.recordAnswer(member.Identity)
 	n.configuration.Heard(started, peer.Statement(reply.GetFrom(), reply.GetConfiguration()))
-	n.absorb(reply)
+	n.applyState(reply)
 }
 
-// state returns what this process tells the peer, whose digest of the managers
-// is given, or 0.
+// state returns the state to send to a peer; digest is the peer's digest of the
+// managers, or 0 if it is not known.
 func (n *Node) state(now time.Time, to roster.Identity, digest uint64) *peerpb.State {
 	members, _ := n.Roster()
 	view := n.configuration.View()
@@ -120,7 +122,7 @@
 		Configuration:  peer.StatementMessage(n.configuration.Statement(now, digest), view.State.Revision),
 		Manager:        n.config.Self.Role == roster.RoleManager,
 		ManagersDigest: n.configuration.Digest(),
-		Confirmed:      n.takeConfirms(to),
+		Confirmed:      n.drainConfirmations(to),
 	}
 	for _, status := range n.ledger.Statuses() {
 		state.Permits = append(state.Permits, peer.PermitsMessage(status))
@@ -134,13 +136,13 @@
 		state.Reports = append(state.Reports, peer.ReportMessage(report))
 	}
 	for _, part := range n.parts {
-		part.Fill(state)
+		part.FillState(state)
 	}
 	return state
 }
 
-// absorb takes a peer's state.
-func (n *Node) absorb(state *peerpb.State) {
+// applyState handles the state received from a peer.
+func (n *Node) applyState(state *peerpb.State) {
 	from := peer.Identity(state.GetFrom())
 	members, _ := n.Roster()
 	if state.GetRosterVersion() > members.Version {
@@ -149,18 +151,18 @@
 	if !members.Contains(from) {
 		return
 	}
-	n.note(from, state)
+	n.recordState(from, state)
 	if state.GetConfiguration().GetRevision() > n.configuration.View().State.Revision {
 		n.PollNow()
 	}
-	n.trade(from, state)
+	n.applyTransfers(from, state)
 	for _, part := range n.parts {
-		part.Absorb(from, state)
+		part.ApplyState(from, state)
 	}
 }
 
-// noteAnswer keeps that the member knows this process.
-func (n *Node) noteAnswer(id roster.Identity) {
+// recordAnswer records that the member has answered this process.
+func (n *Node) recordAnswer(id roster.Identity) {
 	view := n.view(id)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -180,9 +182,9 @@
 	return ids
 }
 
-// trade takes the permits that the peer passed, and its word on those passed
-// to it.
-func (n *Node) trade(from roster.Identity, state *peerpb.State) {
+// applyTransfers receives the peer's transfers of permits, and its confirmations
+// of transfers to it.
+func (n *Node) applyTransfers(from roster.Identity, state *peerpb.State) {
 	for _, confirmed := range state.GetConfirmed() {
 		n.ledger.Confirm(peer.Transfer(confirmed))
 	}
@@ -194,7 +196,7 @@
 	}
 }
 
-// receive takes over one transfer and notes that the peer may stop repeating it.
+// receive applies one transfer and queues its confirmation.
 func (n *Node) receive(from roster.Identity, transfer *peerpb.Transfer) {
 	if !n.ledger.Receive(peer.Transfer(transfer)) {
 		return
@@ -202,22 +204,22 @@
 	view := n.view(from)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	view.confirms = append(view.confirms, transfer)
+	view.confirmations = append(view.confirmations, transfer)
 }
 
-// takeConfirms returns what the peer may stop repeating. When it is lost on the
-// way the peer repeats the transfer, and it is confirmed again.
-func (n *Node) takeConfirms(to roster.Identity) []*peerpb.Transfer {
+// drainConfirmations returns the queued confirmations for a peer. If they are
+// lost, the peer repeats the transfers, and they are confirmed again.
+func (n *Node) drainConfirmations(to roster.Identity) []*peerpb.Transfer {
 	view := n.view(to)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	confirms := view.confirms
-	view.confirms = nil
-	return confirms
+	confirmations := view.confirmations
+	view.confirmations = nil
+	return confirmations
 }
 
-// note keeps what the peer said of itself.
-func (n *Node) note(from roster.Identity, state *peerpb.State) {
+// recordState records a peer's revision in force and its permits.
+func (n *Node) recordState(from roster.Identity, state *peerpb.State) {
 	permits := make(map[string]limit.Status, len(state.GetPermits()))
 	for _, status := range state.GetPermits() {
 		permits[status.GetTeam()] = peer.Permits(status)
@@ -225,12 +227,12 @@
 	view := n.view(from)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	view.heard = time.Now()
+	view.heardAt = time.Now()
 	view.inForce = max(view.inForce, state.GetConfiguration().GetInForce())
 	view.permits = permits
 }
 
-// view returns what is known of a member.
+// view returns the known state of a member.
 func (n *Node) view(id roster.Identity) *peerView {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -242,8 +244,8 @@
 	return view
 }
 
-// forgetPeers drops what is known of processes that left the roster.
-func (n *Node) forgetPeers(members roster.Roster) {
+// prunePeers drops the state of processes that have left the roster.
+func (n *Node) prunePeers(members roster.Roster) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for id := range n.peers {
@@ -253,7 +255,8 @@
 	}
 }
 
-// InForce returns the members that have confirmed the revision and the others.
+// InForce returns the members that have confirmed at least the wanted revision,
+// and those that have not.
 func (n *Node) InForce(wanted uint64) (confirmed, missing []string) {
 	members, _ := n.Roster()
 	for _, member := range members.Members {
@@ -279,8 +282,8 @@
 	return 0
 }
 
-// NoteInForce keeps that the member has confirmed the revision.
-func (n *Node) NoteInForce(id roster.Identity, confirmed uint64) {
+// RecordInForce records that the member has confirmed the revision.
+func (n *Node) RecordInForce(id roster.Identity, confirmed uint64) {
 	view := n.view(id)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -295,13 +298,13 @@
 	var peers []PeerStatus
 	for _, member := range members.Members {
 		if view, ok := n.peers[member.Identity]; ok {
-			peers = append(peers, PeerStatus{Member: member, Heard: view.heard, InForce: view.inForce})
+			peers = append(peers, PeerStatus{Member: member, Heard: view.heardAt, InForce: view.inForce})
 		}
 	}
 	return peers
 }
 
-// peerPermits returns what each peer last told of the team's permits.
+// peerPermits returns each peer's last reported status of the team's permits.
 func (n *Node) peerPermits(team string) map[limit.Member]limit.Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,9 @@
-// Package node is what entry and manager processes share: membership, the
-// configuration in force, permits, and the exchange of states with peers.
+// Package node implements what entry and manager processes share: membership,
+// the configuration in force, permits, and gossip with peers.
 //
 // A node joins the roster, polls the table, exchanges states with every other
-// member each gossip interval, and answers the peer calls on configuration and
-// permits. What only one kind of process tells or learns is added by a Part.
+// member each gossip interval, and answers the peer calls about configuration
+// and permits. A Part adds the state that only one kind of process exchanges.
 //
 // # Usage
 //
@@ -12,7 +12,7 @@
 //	if err := n.Join(ctx); err != nil {
 //		return err
 //	}
-//	done := n.Run(ctx) // ends when ctx does, then delivers one error
+//	done := n.Run(ctx) // delivers one error after ctx has ended
 package node
 
 import (
@@ -41,39 +41,40 @@
 	DefaultPollInterval   = time.Second
 )
 
-// joinRetry is the pause between two attempts to join the roster.
-const joinRetry = 200 * time.Millisecond
+// joinRetryDelay is the time between two attempts to join the roster.
+const joinRetryDelay = 200 * time.Millisecond
 
-// Part adds what one kind of process tells its peers and learns from them. Its
-// methods are called from several goroutines.
+// Part adds the state that one kind of process exchanges with its peers, and
+// handles changes. Its methods are called concurrently.
 type Part interface {
-	// Fill adds to the state that goes to a peer.
-	Fill(state *peerpb.State)
-	// Absorb takes a peer's state.
-	Absorb(from roster.Identity, state *peerpb.State)
-	// RosterChanged takes a roster with the version of its row.
+	// FillState adds to the state that is sent to a peer.
+	FillState(state *peerpb.State)
+	// ApplyState handles the state received from a peer.
+	ApplyState(from roster.Identity, state *peerpb.State)
+	// RosterChanged handles a new roster and the version of its row.
 	RosterChanged(members roster.Roster, rowVersion uint64)
-	// HostsChanged takes the hosts' assignments to pools, by host.
+	// HostsChanged handles the hosts' assignments to pools, keyed by host.
 	HostsChanged(assignments map[string]pool.Assignment)
-	// Busy reports whether peers should hear of this process without delay.
-	Busy() bool
-	// PermitsChanged tells that the ledger may hold more permits than before.
+	// IsUrgent reports whether there is state to send to the peers without delay.
+	IsUrgent() bool
+	// PermitsChanged is called when the ledger may hold more permits than before.
 	PermitsChanged()
 }
 
-// Config constructs a Node.
+// Config configures a Node.
 type Config struct {
 	Self   roster.Member
 	Store  table.Store
 	Dialer *peer.Dialer
 	Log    *log.Logger
-	// FreshBound is how long a confirmed configuration admits keyed work.
+	// FreshBound is how long requests with a key are admitted after the
+	// configuration was last confirmed.
 	FreshBound     time.Duration
 	GossipInterval time.Duration
 	PollInterval   time.Duration
 }
 
-// withDefaults fills in what is not set.
+// withDefaults sets the defaults of unset fields.
 func (c Config) withDefaults() Config {
 	if c.GossipInterval == 0 {
 		c.GossipInterval = DefaultGossipInterval
@@ -91,28 +92,28 @@
 	ledger        *limit.Ledger
 	parts         []Part
 
-	roster atomic.Pointer[seenRoster]
-	// pollNow asks for a reading of the table before the next interval.
+	roster atomic.Pointer[versionedRoster]
+	// pollNow requests a poll of the table before the next interval.
 	pollNow chan struct{}
-	// asks names teams that are short of permits.
-	asks chan string
+	// permitRequests holds teams that need more permits.
+	permitRequests chan string
 
 	mu    sync.Mutex
 	peers map[roster.Identity]*peerView
 
 	exchanges sync.WaitGroup
-	// activeUntil is the end of urgent gossip after a change of the roster, in
-	// nanoseconds of the Unix epoch.
-	activeUntil atomic.Int64
+	// urgentUntil is the end of urgent gossip after a roster change, in
+	// nanoseconds since the Unix epoch.
+	urgentUntil atomic.Int64
 }
 
-// seenRoster is a roster with the version of its row.
-type seenRoster struct {
+// versionedRoster is a roster with the version of its row.
+type versionedRoster struct {
 	roster.Roster
 	rowVersion uint64
 }
 
-// New returns a node that is not a member yet.
+// New returns a node that has not joined the roster yet.
 func New(config Config) *Node {
 	config = config.withDefaults()
 	self := config.Self
@@ -122,22 +123,22 @@
 			Self:  revision.Member(self.Identity),
 			Bound: config.FreshBound,
 		}),
-		ledger:  limit.New(limit.Config{Self: limit.Member(self.Identity.String())}),
-		pollNow: make(chan struct{}, 1),
-		asks:    make(chan string, 64),
-		peers:   make(map[roster.Identity]*peerView),
+		ledger:         limit.New(limit.Config{Self: limit.Member(self.Identity.String())}),
+		pollNow:        make(chan struct{}, 1),
+		permitRequests: make(chan string, 64),
+		peers:          make(map[roster.Identity]*peerView),
 	}
-	n.roster.Store(&seenRoster{})
+	n.roster.Store(&versionedRoster{})
 	return n
 }
 
 // Add attaches a part; it is called before Run.
 func (n *Node) Add(part Part) { n.parts = append(n.parts, part) }
 
-// Self returns this process as it stands in the roster.
+// Self returns this process's entry in the roster.
 func (n *Node) Self() roster.Member { return n.config.Self }
 
-// Member returns this process's name in the permits' rows.
+// Member returns this process's name in the rows of permits.
 func (n *Node) Member() limit.Member { return limit.Member(n.config.Self.Identity.String()) }
 
 // Configuration returns the holder of the configuration in force.
@@ -146,13 +147,13 @@
 // Ledger returns this process's permits.
 func (n *Node) Ledger() *limit.Ledger { return n.ledger }
 
-// Roster returns the newest roster that was seen, and the version of its row.
+// Roster returns the newest observed roster and the version of its row.
 func (n *Node) Roster() (roster.Roster, uint64) {
-	seen := n.roster.Load()
-	return seen.Roster, seen.rowVersion
+	current := n.roster.Load()
+	return current.Roster, current.rowVersion
 }
 
-// GossipInterval returns the time between two exchanges with a peer.
+// GossipInterval returns the time between two gossip rounds.
 func (n *Node) GossipInterval() time.Duration { return n.config.GossipInterval }
 
 // Store returns the table.
@@ -164,25 +165,25 @@
 // Log returns the process's logger.
 func (n *Node) Log() *log.Logger { return n.config.Log }
 
-// Join enters the roster and loads the configuration; it tries until the table
-// answers or the context ends. A process that starts while the table is down
-// holds no permits and knows no claims, so it has to wait.
+// Join joins the roster and loads the configuration. It retries until the table
+// answers or the context ends: a process that starts while the table is down
+// holds no permits and knows no claims, so it can't do anything yet.
 func (n *Node) Join(ctx context.Context) error {
 	for {
 		err := n.tryJoin(ctx)
 		if err == nil {
 			return nil
 		}
-		n.config.Log.Warn("not joined yet", "reason", err.Error())
+		n.config.Log.Warn("roster not joined yet, retrying", "reason", err.Error())
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "join the roster")
-		case <-time.After(joinRetry):
+		case <-time.After(joinRetryDelay):
 		}
 	}
 }
 
-// tryJoin makes one attempt.
+// tryJoin makes one attempt to join.
 func (n *Node) tryJoin(ctx context.Context) error {
 	err := n.ChangeRoster(ctx, func(current roster.Roster) (roster.Roster, bool) {
 		return roster.Join(current, n.config.Self, time.Now())
@@ -203,8 +204,9 @@
 	})
 }
 
-// ChangeRoster commits a change of the roster row, again after a race. A lost
-// answer is settled by reading the row: every change is idempotent.
+// ChangeRoster commits a change of the roster row and retries after a conflict.
+// After a lost answer it reads the row and applies the change again, which is
+// safe because every change is idempotent.
 func (n *Node) ChangeRoster(ctx context.Context, change func(roster.Roster) (roster.Roster, bool)) error {
 	for {
 		rows, err := n.config.Store.Get(ctx, roster.Key)
@@ -217,7 +219,7 @@
 		}
 		next, changed := change(current)
 		if !changed {
-			n.seeRoster(current, rows[0].Version)
+			n.observeRoster(current, rows[0].Version)
 			return nil
 		}
 		err = n.config.Store.Commit(ctx, table.Txn{
@@ -235,32 +237,32 @@
 	return n.ChangeRoster(ctx, func(current roster.Roster) (roster.Roster, bool) { return current, false })
 }
 
-// seeRoster takes a roster that was read from the table.
-func (n *Node) seeRoster(members roster.Roster, rowVersion uint64) {
+// observeRoster adopts a roster read from the table, if it is newer.
+func (n *Node) observeRoster(members roster.Roster, rowVersion uint64) {
 	for {
 		old := n.roster.Load()
 		if old.rowVersion >= rowVersion {
 			return
 		}
-		if n.roster.CompareAndSwap(old, &seenRoster{Roster: members, rowVersion: rowVersion}) {
+		if n.roster.CompareAndSwap(old, &versionedRoster{Roster: members, rowVersion: rowVersion}) {
 			break
 		}
 	}
-	n.activeUntil.Store(time.Now().Add(activeTime).UnixNano())
-	n.forgetPeers(members)
+	n.urgentUntil.Store(time.Now().Add(urgentTime).UnixNano())
+	n.prunePeers(members)
 	for _, part := range n.parts {
 		part.RosterChanged(members, rowVersion)
 	}
 }
 
-// Run polls and gossips until the context ends, then delivers one error.
+// Run starts polling and gossip. After the context has ended it delivers one error.
 func (n *Node) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		group := loops.New(ctx)
 		group.Go(n.pollLoop)
 		group.Go(n.gossipLoop)
-		group.Go(n.askLoop)
+		group.Go(n.permitLoop)
 		group.Wait()
 		n.exchanges.Wait()
 		done <- ctx.Err()
@@ -268,7 +270,8 @@
 	return done
 }
 
-// jitter spreads periodic work of many processes over the interval.
+// jitter varies an interval by up to 10 % either way, to spread the periodic
+// work of many processes.
 func jitter(interval time.Duration) time.Duration {
 	return interval - interval/10 + rand.N(interval/5+1)
 }
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -9,59 +9,61 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// askTimeout bounds one request for permits.
-const askTimeout = 500 * time.Millisecond
+// permitTimeout bounds one request for permits.
+const permitTimeout = 500 * time.Millisecond
 
-// Short tells that the team has no idle permit here, to ask peers at once.
-func (n *Node) Short(team string) {
+// RequestPermits requests permits for a team from the peers at once, because this
+// process has no idle one.
+func (n *Node) RequestPermits(team string) {
 	select {
-	case n.asks <- team:
+	case n.permitRequests <- team:
 	default:
-		// The next gossip round asks for all teams.
+		// The queue is full: the next gossip round requests permits for all teams.
 	}
 }
 
-// askLoop asks peers for permits as soon as a team is short of them.
-func (n *Node) askLoop(ctx context.Context) {
+// permitLoop sends the permit requests that are queued per team.
+func (n *Node) permitLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case team := <-n.asks:
-			n.ask(ctx, team)
+		case team := <-n.permitRequests:
+			n.requestTeamPermits(ctx, team)
 		}
 	}
 }
 
-// askForAll has every team that needs more than it holds asked for. The asking
-// is left to its own loop: a peer that does not answer must not delay gossip.
-func (n *Node) askForAll() {
+// requestAllPermits queues a request for every team; those that need no permits
+// are skipped later. The requests are sent by permitLoop: a peer that does not
+// answer must not delay gossip.
+func (n *Node) requestAllPermits() {
 	for team := range n.configuration.View().State.Catalogue.Teams {
-		n.Short(team)
+		n.RequestPermits(team)
 	}
 }
 
-// ask requests permits of a team from the peers that have idle ones.
-func (n *Node) ask(ctx context.Context, team string) {
+// requestTeamPermits requests permits for a team from the peers that have idle ones.
+func (n *Node) requestTeamPermits(ctx context.Context, team string) {
 	for _, ask := range n.ledger.Wanted(team, n.peerPermits(team)) {
 		member, ok := n.FindMember(ask.To)
 		if !ok {
 			continue
 		}
-		n.spend(member.Identity, team, ask.Want)
-		n.askMember(ctx, member, ask)
+		n.deductIdle(member.Identity, team, ask.Want)
+		n.requestFromMember(ctx, member, ask)
 	}
 }
 
-// askMember makes one request and takes over what is given.
-func (n *Node) askMember(ctx context.Context, member roster.Member, ask limit.Ask) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// requestFromMember sends one request and applies the granted transfer.
+func (n *Node) requestFromMember(ctx context.Context, member roster.Member, ask limit.Ask) {
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	reply, err := n.Dial(member).Ask(ctx, peer.AskMessage(ask))
 	if err != nil {
-		// Ask no more until the peer is heard again. What it gave comes with
-		// the next exchange.
-		n.forgetPermits(member.Identity)
+		// Send no more requests until the peer reports its permits again. If it
+		// granted some, the next exchange repeats the transfer.
+		n.clearPermits(member.Identity)
 		return
 	}
 	if reply.GetTransfer() == nil {
@@ -71,8 +73,8 @@
 	n.permitsChanged()
 }
 
-// spend lowers what a peer is believed to have idle, until it says anew.
-func (n *Node) spend(id roster.Identity, team string, count int) {
+// deductIdle lowers a peer's count of idle permits until it reports again.
+func (n *Node) deductIdle(id roster.Identity, team string, count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if view, ok := n.peers[id]; ok && view.permits != nil {
@@ -82,8 +84,8 @@
 	}
 }
 
-// forgetPermits drops what a peer told of its permits.
-func (n *Node) forgetPermits(id roster.Identity) {
+// clearPermits drops a peer's reported permits.
+func (n *Node) clearPermits(id roster.Identity) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if view, ok := n.peers[id]; ok {
@@ -91,7 +93,7 @@
 	}
 }
 
-// FindMember returns the roster's member of that name in the permits' rows.
+// FindMember returns the roster's member with that name in the rows of permits.
 func (n *Node) FindMember(name limit.Member) (roster.Member, bool) {
 	members, _ := n.Roster()
 	for _, member := range members.Members {
@@ -102,8 +104,8 @@
 	return roster.Member{}, false
 }
 
-// HandOver passes all idle permits to another active entry, for a planned
-// stop. What does not arrive comes back by a rebase.
+// HandOver transfers all idle permits to another active entry before a planned
+// stop. Permits that don't arrive are recovered by a rebase.
 func (n *Node) HandOver(ctx context.Context) {
 	members, _ := n.Roster()
 	for _, member := range members.Active() {
@@ -113,7 +115,7 @@
 		for team := range n.configuration.View().State.Catalogue.Teams {
 			n.ledger.Leave(team, limit.Member(member.Identity.String()))
 		}
-		// The exchange carries the transfers, which are repeated each time.
+		// The exchange carries the transfers, which are repeated until confirmed.
 		n.exchange(ctx, member)
 		return
 	}
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -12,10 +12,10 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// pollTimeout bounds one reading of the table.
+// pollTimeout bounds one poll of the table.
 const pollTimeout = 2 * time.Second
 
-// PollNow asks for a reading of the table before the next interval.
+// PollNow requests a poll of the table before the next interval.
 func (n *Node) PollNow() {
 	select {
 	case n.pollNow <- struct{}{}:
@@ -23,7 +23,7 @@
 	}
 }
 
-// pollLoop reads the table each interval, as the backstop of what is pushed.
+// pollLoop polls the table each interval, in case a push was lost.
 func (n *Node) pollLoop(ctx context.Context) {
 	for {
 		timer := time.NewTimer(jitter(n.config.PollInterval))
@@ -41,7 +41,7 @@
 	}
 }
 
-// poll reads roster, revision and permits.
+// poll reads roster, configuration, permits and host assignments.
 func (n *Node) poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -54,7 +54,8 @@
 	return n.pollHosts(ctx)
 }
 
-// pollHead reads roster and revision in one consistent call.
+// pollHead reads the roster and the head revision in one consistent call, and
+// loads the configuration if it is newer.
 func (n *Node) pollHead(ctx context.Context) error {
 	started := time.Now()
 	rows, err := n.config.Store.Get(ctx, revision.HeadKey, roster.Key)
@@ -69,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	n.seeRoster(members, rows[1].Version)
+	n.observeRoster(members, rows[1].Version)
 	n.configuration.Read(started, managersOf(members), newest)
 	if newest > n.configuration.View().State.Revision {
 		return n.load(ctx)
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// permitsChanged tells the parts that permits may have come in.
+// permitsChanged notifies the parts that permits may have been received.
 func (n *Node) permitsChanged() {
 	for _, part := range n.parts {
 		part.PermitsChanged()
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -11,28 +11,28 @@
 	"github.com/lovagedyke/lovagedyke/internal/revision"
 )
 
-// Service answers the peer calls that every process answers. Processes that
-// hold claims embed it and replace the other methods.
+// Service handles the peer calls that every process supports. Processes that
+// hold claims embed it and override the other methods.
 type Service struct {
 	node *Node
 }
 
-// Service returns the node's answers to peers.
+// Service returns the node's handler of peer calls.
 func (n *Node) Service() *Service { return &Service{node: n} }
 
-// Exchange takes a peer's state and returns the node's own.
+// Exchange applies a peer's state and returns the node's own.
 func (s *Service) Exchange(_ context.Context, state *peerpb.State) (*peerpb.State, error) {
 	now := time.Now()
 	if state.GetManager() {
-		// A manager commits only once every member knows it, also those whose
-		// roster does not have it yet.
+		// A manager commits only after every member has admitted it, including
+		// members whose roster doesn't list it yet.
 		s.node.configuration.Admit(revision.Member(peer.Identity(state.GetFrom())), now)
 	}
-	s.node.absorb(state)
+	s.node.applyState(state)
 	return s.node.state(now, peer.Identity(state.GetFrom()), state.GetManagersDigest()), nil
 }
 
-// Push takes a committed change of the configuration.
+// Push applies a committed change of the configuration.
 func (s *Service) Push(_ context.Context, request *peerpb.PushRequest) (*peerpb.PushReply, error) {
 	change := peer.Change(request)
 	if s.node.configuration.OfferChange(change) {
@@ -43,12 +43,12 @@
 	return &peerpb.PushReply{Revision: s.node.configuration.View().State.Revision}, nil
 }
 
-// Ask gives permits to a peer.
+// Ask grants permits to a peer.
 func (s *Service) Ask(_ context.Context, request *peerpb.AskRequest) (*peerpb.AskReply, error) {
 	ask := peer.Ask(request)
 	transfer, ok := s.node.ledger.Give(ask)
 	if !ok && !s.node.ledger.Lists(ask.Team, ask.From) {
-		// The team's row lists a new member that this process has not read of.
+		// The team's row may list a new member that this process doesn't know yet.
 		s.node.PollNow()
 	}
 	if !ok {
@@ -57,7 +57,7 @@
 	return &peerpb.AskReply{Transfer: peer.TransferMessage(transfer)}, nil
 }
 
-// Freeze ends the trade of a generation of permits.
+// Freeze ends the transfers of a generation of permits.
 func (s *Service) Freeze(_ context.Context, request *peerpb.FreezeRequest) (*peerpb.FreezeReply, error) {
 	freeze, err := peer.Freeze(request)
 	if err != nil {
@@ -70,43 +70,43 @@
 	return &peerpb.FreezeReply{Report: peer.ReportMessage(report)}, nil
 }
 
-// errNoTasks answers calls on tasks at a process that manages none.
-var errNoTasks = twirp.NewError(twirp.Unimplemented, "this process manages no tasks")
+// errTasksUnsupported is returned by processes that manage no tasks.
+var errTasksUnsupported = twirp.NewError(twirp.Unimplemented, "this process manages no tasks")
 
 // SubmitTask implements peerpb.Peer.
 func (s *Service) SubmitTask(context.Context, *peerpb.SubmitTaskRequest) (*peerpb.TaskReply, error) {
-	return nil, errNoTasks
+	return nil, errTasksUnsupported
 }
 
 // CancelTask implements peerpb.Peer.
 func (s *Service) CancelTask(context.Context, *peerpb.CancelTaskRequest) (*peerpb.TaskReply, error) {
-	return nil, errNoTasks
+	return nil, errTasksUnsupported
 }
 
-// errNoClaims answers calls on claims at a process that holds none.
-var errNoClaims = twirp.NewError(twirp.Unimplemented, "this process holds no claims")
+// errClaimsUnsupported is returned by processes that hold no claims.
+var errClaimsUnsupported = twirp.NewError(twirp.Unimplemented, "this process holds no claims")
 
 // Claim implements peerpb.Peer.
 func (s *Service) Claim(context.Context, *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
-	return nil, errNoClaims
+	return nil, errClaimsUnsupported
 }
 
 // Finish implements peerpb.Peer.
 func (s *Service) Finish(context.Context, *peerpb.FinishRequest) (*peerpb.FinishReply, error) {
-	return nil, errNoClaims
+	return nil, errClaimsUnsupported
 }
 
 // Release implements peerpb.Peer.
 func (s *Service) Release(context.Context, *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
-	return nil, errNoClaims
+	return nil, errClaimsUnsupported
 }
 
 // Mirror implements peerpb.Peer.
 func (s *Service) Mirror(context.Context, *peerpb.MirrorRequest) (*peerpb.MirrorReply, error) {
-	return nil, errNoClaims
+	return nil, errClaimsUnsupported
 }
 
 // KeepCharges implements peerpb.Peer.
 func (s *Service) KeepCharges(context.Context, *peerpb.KeepChargesRequest) (*peerpb.KeepChargesReply, error) {
-	return nil, errNoClaims
+	return nil, errClaimsUnsupported
 }
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -27,7 +27,7 @@
 	Keys       int       `json:"keys"`
 }
 
-// Snapshot returns the present state.
+// Snapshot returns the node's current state.
 func (n *Node) Snapshot() Snapshot {
 	members, rowVersion := n.Roster()
 	view := n.configuration.View()
