--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -14,8 +14,9 @@
 	"github.com/lovagedyke/lovagedyke/internal/settings"
 )
 
-// RunEntry runs an entry until the context ends, and then stops it gracefully.
-// The error tells that it could not start, or that the grace did not suffice.
+// RunEntry runs an entry until the context ends, and then stops it gracefully. It
+// returns an error if the entry could not start or did not stop within the grace
+// period.
 func RunEntry(ctx context.Context, config settings.Config, logger *log.Logger) error {
 	p, err := newProcess(config, roster.RoleEntry, logger)
 	if err != nil {
@@ -27,21 +28,21 @@
 		MaxBody: config.MaxBody,
 	})
 	p.node.Add(e)
-	if err := p.openInner(e.Service(), func() any { return e.Snapshot() }); err != nil {
+	if err := p.openInternalPorts(e.Service(), func() any { return e.Snapshot() }); err != nil {
 		return err
 	}
 
-	// The loops outlive ctx: they serve the requests in flight during a stop.
-	loops, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
+	// The loops outlive ctx, to serve requests in flight during the shutdown.
+	loopCtx, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
 	var running conc.WaitGroup
 	defer running.Wait()
 	defer stopLoops()
-	running.Go(func() { p.reloadLoop(loops) })
+	running.Go(func() { p.reloadLoop(loopCtx) })
 	if err := p.node.Join(ctx); err != nil {
 		return err
 	}
-	running.Go(func() { <-e.Run(loops) })
-	running.Go(func() { <-p.node.Run(loops) })
+	running.Go(func() { <-e.Run(loopCtx) })
+	running.Go(func() { <-p.node.Run(loopCtx) })
 	if err := e.AwaitReady(ctx); err != nil {
 		return err
 	}
@@ -56,36 +57,37 @@
 	case <-ctx.Done():
 	case err := <-callers.Done():
 		return err
-	case <-p.dropped(loops):
+	case <-p.watchDropped(loopCtx):
 		return errors.CombineErrors(errDropped, p.stopEntry(e, callers))
 	}
 	return p.stopEntry(e, callers)
 }
 
-// stopEntry ends an entry without cutting a request.
+// stopEntry stops an entry gracefully.
 func (p *process) stopEntry(e *entry.Entry, callers *port.Port) error {
 	p.log.Info("stopping", "balancer-delay", p.config.BalancerDelay, "grace", p.config.Grace)
 	p.setReady(errDraining)
 	callers.Drain()
-	pause(context.Background(), p.config.BalancerDelay)
-	// Requests that outlive their part of the grace are cut, so that permits
-	// and claims can still be handed over.
-	requests, cancel := context.WithTimeout(context.Background(), p.config.Grace)
+	sleep(context.Background(), p.config.BalancerDelay)
+	// Requests that outlive the grace period are aborted, so that permits and
+	// claims can still be handed over.
+	requestCtx, cancel := context.WithTimeout(context.Background(), p.config.Grace)
 	defer cancel()
-	err := callers.Shutdown(requests)
-	if drainErr := e.Drain(requests); err == nil {
+	err := callers.Shutdown(requestCtx)
+	if drainErr := e.Drain(requestCtx); err == nil {
 		err = drainErr
 	}
-	handOver, cancel := context.WithTimeout(context.Background(), p.config.Grace/leaveShare+time.Second)
+	handOverCtx, cancel := context.WithTimeout(context.Background(), p.config.Grace/handOverDivisor+time.Second)
 	defer cancel()
-	e.HandOver(handOver)
-	p.leave(handOver)
-	e.Flush(handOver)
-	return errors.Wrap(err, "requests outlived the grace")
+	e.HandOver(handOverCtx)
+	p.leave(handOverCtx)
+	e.Flush(handOverCtx)
+	return errors.Wrap(err, "requests outlived the grace period")
 }
 
-// dropped returns a channel that is closed when the roster lacks this process.
-func (p *process) dropped(ctx context.Context) <-chan struct{} {
+// watchDropped returns a channel that is closed when the roster no longer
+// contains this process.
+func (p *process) watchDropped(ctx context.Context) <-chan struct{} {
 	gone := make(chan struct{})
 	go func() {
 		for ctx.Err() == nil {
@@ -94,7 +96,7 @@
 				close(gone)
 				return
 			}
-			pause(ctx, time.Second)
+			sleep(ctx, time.Second)
 		}
 	}()
 	return gone
--- a/internal/process/feeds.go
+++ b/internal/process/feeds.go
@@ -17,91 +17,96 @@
 )
 
 const (
-	// operatorWait is how long the store may wait for an operator's change. A
-	// feed that has gone silent is noticed shortly after it.
-	operatorWait = time.Second
-	// operatorRetry is the time before a feed that failed is asked again.
-	operatorRetry = 150 * time.Millisecond
-	// peerPolicyEvery is the time between two questions to peers for a newer
-	// configuration while the store does not answer.
-	peerPolicyEvery = 300 * time.Millisecond
-	// pushPeers is how many peers get a fresh configuration from each process
-	// that read it in the store.
-	pushPeers = 6
-	// hintPause is waited, once to twice, before a peer is asked for a version
-	// that it has: most processes read it in the store meanwhile.
-	hintPause = 120 * time.Millisecond
-	// pendingHints is how many hints wait.
-	pendingHints = 16
-	// peerCall bounds a call about the configuration, and textCall one that may bring
-	// its text, of some hundred kilobytes, over a small link.
-	peerCall = time.Second
-	textCall = 1500 * time.Millisecond
-	// peersAtOnce is how many peers are asked for a text at a time.
-	peersAtOnce = 2
+	// operatorFeedTimeout is the long-poll timeout of the operators' feed. A feed
+	// that has gone silent is detected shortly after it.
+	operatorFeedTimeout = time.Second
+	// operatorRetryDelay is the time before a failed call of the feed is retried.
+	operatorRetryDelay = 150 * time.Millisecond
+	// peerPolicyInterval is the time between two attempts to get a newer
+	// configuration from peers while the store does not answer.
+	peerPolicyInterval = 300 * time.Millisecond
+	// pushFanout is the number of peers that each process which has read a new
+	// configuration from the store notifies.
+	pushFanout = 6
+	// hintDelay is the minimum delay, and half the maximum, between a hint and
+	// fetching the version from the peer: most processes read it from the store
+	// meanwhile.
+	hintDelay = 120 * time.Millisecond
+	// hintQueueSize is the number of hints that may wait.
+	hintQueueSize = 16
+	// hintCallTimeout bounds a call that announces a version, and
+	// policyCallTimeout one that may transfer the configuration, of some hundred
+	// kilobytes, over a slow link.
+	hintCallTimeout   = time.Second
+	policyCallTimeout = 1500 * time.Millisecond
+	// peerBatchSize is the number of peers asked for a configuration at a time.
+	peerBatchSize = 2
 )
 
-// memberClaim is the claim with which a leadership is won.
+// memberClaim is the claim row of a leader.
 type memberClaim = record.Claim
 
-// policyChanged passes a newer configuration on.
+// policyChanged applies a newer configuration, and announces it to peers if it
+// was read from the store.
 func (n *frontNode) policyChanged(current *policy.Policy, fresh bool) {
 	n.control.SetPolicy(current)
 	if !fresh {
 		return
 	}
 	select {
-	case <-n.news:
+	case <-n.policyUpdates:
 	default:
 	}
-	n.news <- current.Version
+	n.policyUpdates <- current.Version
 }
 
-// pushLoop tells peers of configurations that we read in the store: some of
-// them may not reach it.
+// pushLoop announces configurations read from the store to peers, some of which
+// may not reach the store.
 func (n *frontNode) pushLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case version := <-n.news:
+		case version := <-n.policyUpdates:
 			n.push(ctx, version)
 		}
 	}
 }
 
-// push tells some peers of a configuration.
+// push announces a configuration to some peers.
 func (n *frontNode) push(ctx context.Context, version uint64) {
 	peers := n.member.Peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	// Side by side: a peer that is gone must not delay the others.
+	// In parallel: an unreachable peer must not delay the others.
 	callers := pool.New()
-	for _, peer := range peers[:min(len(peers), pushPeers)] {
-		callers.Go(func() { n.pushTo(ctx, peer, version) })
+	for _, peer := range peers[:min(len(peers), pushFanout)] {
+		callers.Go(func() { n.pushToPeer(ctx, peer, version) })
 	}
 	callers.Wait()
 }
 
-// pushTo tells one peer, which asks for the text if it needs it.
-func (n *frontNode) pushTo(ctx context.Context, peer record.Member, version uint64) {
-	call, cancel := context.WithTimeout(ctx, peerCall)
+// pushToPeer announces a version to one peer, which fetches the configuration if
+// it needs it.
+func (n *frontNode) pushToPeer(ctx context.Context, peer record.Member, version uint64) {
+	callCtx, cancel := context.WithTimeout(ctx, hintCallTimeout)
 	defer cancel()
-	_, err := n.member.Dial(peer.Address).PolicyHint(call, &memberpb.PolicyHintRequest{
+	_, err := n.member.Dial(peer.Address).PolicyHint(callCtx, &memberpb.PolicyHintRequest{
 		Version: version, From: &memberpb.Address{Name: n.settings.Name, Address: n.settings.Peers.String()},
 	})
 	if err != nil {
-		n.journal.Info("configuration not pushed", "peer", peer.Name, "error", err.Error())
+		n.journal.Info("configuration version not announced to a peer", "peer", peer.Name, "error", err.Error())
 	}
 }
 
-// hint is a version that a peer has.
+// hint is a configuration version that a peer has announced.
 type hint struct {
 	version uint64
 	from    record.Member
 }
 
-// takeHint notes what a peer has; more hints than can wait add nothing.
-func (n *frontNode) takeHint(version uint64, from record.Member) {
+// queueHint queues a peer's hint if its version is newer. Hints that find the
+// queue full are dropped.
+func (n *frontNode) queueHint(version uint64, from record.Member) {
 	if version <= n.holder.Version() {
 		return
 	}
@@ -111,78 +116,79 @@
 	}
 }
 
-// hintLoop asks for configurations that peers have and the store has not brought
-// us by now.
+// hintLoop fetches hinted configurations from peers, unless the store has
+// delivered them meanwhile.
 func (n *frontNode) hintLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case heard := <-n.hints:
-			if heard.version <= n.holder.Version() {
+		case hinted := <-n.hints:
+			if hinted.version <= n.holder.Version() {
 				continue
 			}
-			pause(ctx, hintPause+rand.N(hintPause))
-			if heard.version > n.holder.Version() {
-				n.askPolicy(ctx, heard.from)
+			sleep(ctx, hintDelay+rand.N(hintDelay))
+			if hinted.version > n.holder.Version() {
+				n.fetchPolicy(ctx, hinted.from)
 			}
 		}
 	}
 }
 
-// operatorFeed follows what the operators write.
+// operatorFeed follows the operators' rows in the store.
 func (n *frontNode) operatorFeed(ctx context.Context) {
 	version, known := uint64(0), false
 	for ctx.Err() == nil {
-		var news platform.OperatorNews
+		var rows platform.OperatorNews
 		var err error
 		if known {
-			news, version, err = n.operator.Changes(ctx, version, operatorWait)
+			rows, version, err = n.operator.Changes(ctx, version, operatorFeedTimeout)
 		} else {
-			news, version, err = n.operator.All(ctx)
+			rows, version, err = n.operator.All(ctx)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		n.storeAnswered(err)
-		n.takeNews(news)
+		n.observeStore(err)
+		n.applyOperatorRows(rows)
 		known = err == nil || known && !errors.Is(err, table.ErrHistoryLost)
 		if err != nil {
 			n.journal.Info("operators' rows not read", "version", version, "error", err.Error())
-			pause(ctx, operatorRetry)
+			sleep(ctx, operatorRetryDelay)
 		}
 	}
 }
 
-// takeNews puts operators' rows in force.
-func (n *frontNode) takeNews(news platform.OperatorNews) {
-	n.holder.Offer(news.Policy, policy.SourceStore)
-	for _, wave := range news.Waves {
+// applyOperatorRows applies changed operators' rows.
+func (n *frontNode) applyOperatorRows(rows platform.OperatorNews) {
+	n.holder.Offer(rows.Policy, policy.SourceStore)
+	for _, wave := range rows.Waves {
 		n.control.SetWave(wave)
 	}
 }
 
-// peerFeed asks peers for a newer configuration while the store does not answer us.
+// peerFeed asks peers for a newer configuration while the store does not answer.
 func (n *frontNode) peerFeed(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, peerPolicyEvery)
+		sleep(ctx, peerPolicyInterval)
 		if n.member.StoreReached() {
 			continue
 		}
 		peers := n.member.Peers()
 		rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-		askInTurn(peers, func(peer record.Member) bool { return n.askPolicy(ctx, peer) })
+		askInBatches(peers, func(peer record.Member) bool { return n.fetchPolicy(ctx, peer) })
 	}
 }
 
-// askInTurn asks a few peers at a time until one of them had something newer. A
-// configuration may be large and our link small: were all peers asked at once, their
-// answers would fill it for many seconds, and none would come in time.
-func askInTurn(peers []record.Member, ask func(peer record.Member) bool) {
-	for first := 0; first < len(peers); first += peersAtOnce {
+// askInBatches asks a few peers at a time until one of them has a newer
+// configuration. A configuration may be large and the link slow: if all peers
+// were asked at once, their answers would fill the link for many seconds, and all
+// would time out.
+func askInBatches(peers []record.Member, ask func(peer record.Member) bool) {
+	for first := 0; first < len(peers); first += peerBatchSize {
 		var isNewer atomic.Bool
 		callers := pool.New()
-		for _, peer := range peers[first:min(first+peersAtOnce, len(peers))] {
+		for _, peer := range peers[first:min(first+peerBatchSize, len(peers))] {
 			callers.Go(func() {
 				if ask(peer) {
 					isNewer.Store(true)
@@ -196,21 +202,22 @@
 	}
 }
 
-// askPolicy asks one peer. It reports whether that had a newer configuration.
-func (n *frontNode) askPolicy(ctx context.Context, peer record.Member) bool {
-	call, cancel := context.WithTimeout(ctx, textCall)
+// fetchPolicy fetches the configuration from one peer. It reports whether it was
+// newer.
+func (n *frontNode) fetchPolicy(ctx context.Context, peer record.Member) bool {
+	callCtx, cancel := context.WithTimeout(ctx, policyCallTimeout)
 	defer cancel()
 	have := n.holder.Version()
-	reply, err := n.member.Dial(peer.Address).Policy(call, &memberpb.PolicyRequest{Have: have})
+	reply, err := n.member.Dial(peer.Address).Policy(callCtx, &memberpb.PolicyRequest{Have: have})
 	if err != nil {
-		n.journal.Info("configuration not read from a peer", "peer", peer.Name, "have", have, "error", err.Error())
+		n.journal.Info("configuration not fetched from a peer", "peer", peer.Name, "have", have, "error", err.Error())
 		return false
 	}
 	n.holder.Offer(reply.Value, "peer")
 	return n.holder.Version() > have
 }
 
-// dump is the process's state for operators.
+// dump returns the process's state for the operators' state dump.
 func (n *frontNode) dump() any {
 	leader, isSelf, known := n.member.Leader()
 	return struct {
--- a/internal/process/manager.go
+++ b/internal/process/manager.go
@@ -31,20 +31,20 @@
 		ClaimRetention: config.ClaimRetention, Log: logger,
 	})
 	p.node.Add(m)
-	if err := p.openInner(m.Service(), func() any { return m.Snapshot() }); err != nil {
+	if err := p.openInternalPorts(m.Service(), func() any { return m.Snapshot() }); err != nil {
 		return err
 	}
 
-	loops, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
+	loopCtx, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
 	var running conc.WaitGroup
 	defer running.Wait()
 	defer stopLoops()
-	running.Go(func() { p.reloadLoop(loops) })
+	running.Go(func() { p.reloadLoop(loopCtx) })
 	if err := p.node.Join(ctx); err != nil {
 		return err
 	}
-	running.Go(func() { <-p.node.Run(loops) })
-	running.Go(func() { <-m.Run(loops) })
+	running.Go(func() { <-p.node.Run(loopCtx) })
+	running.Go(func() { <-m.Run(loopCtx) })
 	operators, err := p.openOperators(m.Handler(operatorKey))
 	if err != nil {
 		return err
@@ -56,13 +56,13 @@
 	case <-ctx.Done():
 	case err := <-operators.Done():
 		return err
-	case <-p.dropped(loops):
+	case <-p.watchDropped(loopCtx):
 		return errors.CombineErrors(errDropped, p.stopManager(m, operators))
 	}
 	return p.stopManager(m, operators)
 }
 
-// openOperators opens the operators' port, with certificates where there are any.
+// openOperators opens the operators' port, with TLS if certificates are configured.
 func (p *process) openOperators(handler http.Handler) (*port.Port, error) {
 	config := port.Config{Name: "operator", Address: p.config.OperatorAddress, Handler: handler}
 	if p.operatorCerts != nil {
@@ -71,18 +71,18 @@
 	return p.open(config)
 }
 
-// stopManager ends a manager without cutting a request.
+// stopManager stops a manager gracefully.
 func (p *process) stopManager(m *manager.Manager, operators *port.Port) error {
 	p.log.Info("stopping", "grace", p.config.Grace)
 	p.setReady(errDraining)
 	operators.Drain()
-	requests, cancel := context.WithTimeout(context.Background(), p.config.Grace)
+	requestCtx, cancel := context.WithTimeout(context.Background(), p.config.Grace)
 	defer cancel()
-	err := operators.Shutdown(requests)
+	err := operators.Shutdown(requestCtx)
 	m.Finish()
-	handOver, cancel := context.WithTimeout(context.Background(), p.config.Grace/leaveShare+time.Second)
+	handOverCtx, cancel := context.WithTimeout(context.Background(), p.config.Grace/handOverDivisor+time.Second)
 	defer cancel()
-	p.node.HandOver(handOver)
-	p.leave(handOver)
-	return errors.Wrap(err, "requests outlived the grace")
+	p.node.HandOver(handOverCtx)
+	p.leave(handOverCtx)
+	return errors.Wrap(err, "requests outlived the grace period")
 }
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -25,10 +25,11 @@
 )
 
 const (
-	// storeTimeout bounds a call to the store; a slow store takes a second or more.
+	// storeTimeout bounds a call to the store; a slow store takes a second or longer.
 	storeTimeout = 1800 * time.Millisecond
-	// gcPercent lets the heap grow to four times what is in use before it is
-	// collected, within the memory limit: a leader's processor is scarcer.
+	// gcPercent lets the heap grow to four times the live data before garbage
+	// collection, within the memory limit: a leader is short of CPU rather than
+	// of memory.
 	gcPercent = 300
 	// endpointTimeout bounds an order to an endpoint.
 	endpointTimeout = 400 * time.Millisecond
@@ -36,35 +37,38 @@
 	hostTimeout = 2 * time.Second
 	// connectTimeout bounds the opening of a connection to the platform's servers.
 	connectTimeout = 400 * time.Millisecond
-	// silenceTimeout ends connections whose other side does not acknowledge.
-	silenceTimeout = 900 * time.Millisecond
-	// balancerNotice is how long the balancer takes to see that a process is not
-	// ready: two looks, a second apart.
-	balancerNotice = 2200 * time.Millisecond
-	// stopReserve is left of the grace for the last answers and the last lines.
-	stopReserve = time.Second
-	// headerRead bounds the reading of a request's header, and idleCaller how
-	// long a caller's connection may stay unused.
-	headerRead = 5 * time.Second
-	idleCaller = 30 * time.Second
-	// headerBytes bounds a request's header; the configuration may ask for less.
-	headerBytes = 16 << 10
-	// memoryShare is the part of the memory limit that the heap may take before
-	// it is collected harder.
-	memoryShare = 0.6
+	// ackTimeout closes connections whose peer does not acknowledge data.
+	ackTimeout = 900 * time.Millisecond
+	// balancerDelay is how long the load balancer takes to detect that a process
+	// is not ready: two health checks, one second apart.
+	balancerDelay = 2200 * time.Millisecond
+	// shutdownReserve is the part of the grace period reserved for the last
+	// responses and log lines.
+	shutdownReserve = time.Second
+	// headerReadTimeout bounds reading a request's header, and idleConnTimeout how
+	// long a connection may stay idle.
+	headerReadTimeout = 5 * time.Second
+	idleConnTimeout   = 30 * time.Second
+	// maxHeaderBytes bounds a request's header; the configuration may set a lower
+	// limit.
+	maxHeaderBytes = 16 << 10
+	// heapLimitShare is the part of the process's memory limit that is set as the
+	// Go runtime's soft limit, above which garbage is collected more often.
+	heapLimitShare = 0.6
 )
 
 // NodeConfig is what RunNode needs besides the platform's settings.
 type NodeConfig struct {
 	Settings platform.Settings
-	// SettingsPath is the file that the settings come from.
+	// SettingsPath is the path of the settings file.
 	SettingsPath string
-	// Metrics is where metrics and the state's dump are served; invalid for nowhere.
+	// Metrics is the address that serves metrics and the state dump; an invalid
+	// address disables them.
 	Metrics netip.AddrPort
 	Journal *journal.Journal
 }
 
-// frontNode is a process between callers and endpoints, on the platform.
+// frontNode is a process that accepts callers' jobs and can lead the fleet.
 type frontNode struct {
 	config   NodeConfig
 	settings platform.Settings
@@ -76,16 +80,16 @@
 	control  *control.Control
 	ingress  *ingress.Ingress
 	stopping atomic.Bool
-	// news wakes the push of a fresh configuration.
-	news chan uint64
-	// hints holds versions that peers have.
+	// policyUpdates holds the newest configuration version to announce to peers.
+	policyUpdates chan uint64
+	// hints holds versions that peers have announced.
 	hints chan hint
 }
 
-// RunNode runs a front node until ctx ends, and then stops it in order.
+// RunNode runs a front node until ctx ends, and then stops it gracefully.
 func RunNode(ctx context.Context, config NodeConfig) error {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(float64(config.Settings.MemoryMiB) * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(config.Settings.MemoryMiB) * heapLimitShare * (1 << 20)))
 	n := newFrontNode(config)
 	n.journal.Info("start", "data-centre", n.settings.DataCentre, "callers", n.settings.Callers.String(),
 		"peers", n.settings.Peers.String(), "first-start", n.settings.FirstStart)
@@ -95,17 +99,17 @@
 	return n.run(ctx)
 }
 
-// newFrontNode connects the parts.
+// newFrontNode creates the node's parts and connects them.
 func newFrontNode(config NodeConfig) *frontNode {
 	settings := config.Settings
-	client := platform.NewClient(platform.ClientConfig{Silence: silenceTimeout, Dial: connectTimeout})
+	client := platform.NewClient(platform.ClientConfig{Silence: ackTimeout, Dial: connectTimeout})
 	n := &frontNode{
-		config: config, settings: settings, journal: config.Journal, news: make(chan uint64, 1),
-		hints: make(chan hint, pendingHints),
+		config: config, settings: settings, journal: config.Journal, policyUpdates: make(chan uint64, 1),
+		hints: make(chan hint, hintQueueSize),
 	}
 	n.store = platform.NewStore(platform.StoreConfig{Client: client, Address: settings.Store, Timeout: storeTimeout})
 	unreadable := func(key string, err error) {
-		n.journal.Info("row not readable", "key", key, "error", err.Error())
+		n.journal.Info("row cannot be decoded", "key", key, "error", err.Error())
 	}
 	n.operator = platform.OperatorRows{Store: n.store, Unreadable: unreadable}
 	n.holder = policy.NewHolder(policy.HolderConfig{Decode: platform.DecodePolicy, Changed: n.policyChanged, Journal: n.journal})
@@ -127,7 +131,7 @@
 			Client: client, Address: settings.Hosts, Holder: settings.Name, Timeout: hostTimeout,
 		}),
 		Advice: advice, WaveStatus: platform.WaveStatus{}, Bounds: settings.Bounds.FleetBounds(), Journal: n.journal,
-		Lost: n.member.Lost, MajorityConfirmedAt: n.member.MajorityConfirmedAt, ObserveStore: n.storeAnswered,
+		Lost: n.member.Lost, MajorityConfirmedAt: n.member.MajorityConfirmedAt, ObserveStore: n.observeStore,
 	})
 	n.ingress = ingress.New(ingress.Config{
 		Policy: n.holder, Store: n.member.Store(), Fleet: member.NewFleetClient(n.member, n.control),
@@ -136,24 +140,25 @@
 	return n
 }
 
-// storeAnswered counts a feed's answer as a sign of the store; lost history is one, too.
-func (n *frontNode) storeAnswered(err error) {
+// observeStore records a feed's result. Lost history is an answer of the store
+// and doesn't count as a failure.
+func (n *frontNode) observeStore(err error) {
 	if errors.Is(err, table.ErrHistoryLost) {
 		err = nil
 	}
 	n.member.ObserveStore(err)
 }
 
-// run opens the ports and works until ctx ends.
+// run opens the ports and runs all loops until ctx ends.
 func (n *frontNode) run(ctx context.Context) error {
-	// The loops go on while the process stops in order.
-	work, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	listeners, err := n.listen(work)
+	// The loops outlive ctx, for a graceful shutdown.
+	workCtx, endWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer endWork()
+	listeners, err := n.listen(workCtx)
 	if err != nil {
 		return err
 	}
-	group := loops.New(work)
+	group := loops.New(workCtx)
 	group.Go(n.member.Run)
 	group.Go(n.control.Run)
 	group.Go(n.ingress.Run)
@@ -169,26 +174,27 @@
 	case <-ctx.Done():
 		n.stop(listeners)
 	case <-group.Done():
-		// A loop has found a broken invariant; Wait panics with it.
+		// A loop has panicked over a broken invariant; Wait repeats the panic.
 		for _, l := range listeners {
 			_ = l.server.Close()
 		}
 	}
-	end()
+	endWork()
 	group.Wait()
 	n.journal.Info("stopped")
 	return nil
 }
 
-// stop leaves in order: no new connections, no leadership, the answers, the end.
+// stop shuts down gracefully: it reports not ready, releases the leadership,
+// waits until the load balancer has noticed, and drains the ports.
 func (n *frontNode) stop(listeners []*listener) {
-	deadline := time.Now().Add(n.settings.Bounds.Grace - stopReserve)
+	deadline := time.Now().Add(n.settings.Bounds.Grace - shutdownReserve)
 	n.journal.Info("stopping", "grace", n.settings.Bounds.Grace.String())
 	n.stopping.Store(true)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	n.member.Stop(ctx)
-	timer := time.NewTimer(balancerNotice)
+	timer := time.NewTimer(balancerDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -199,7 +205,8 @@
 	}
 }
 
-// ready returns whether the balancer should send new connections.
+// ready returns nil if the load balancer should send new connections, or the
+// reason why not.
 func (n *frontNode) ready() error {
 	if n.stopping.Load() {
 		return errDraining
@@ -210,7 +217,7 @@
 	return nil
 }
 
-// listener is one open port.
+// listener is an open port with its HTTP server.
 type listener struct {
 	name    string
 	socket  net.Listener
@@ -218,7 +225,8 @@
 	journal *journal.Journal
 }
 
-// listen opens all ports, so that a port that is taken stops the process.
+// listen opens all ports. A port that is in use is an error, which ends the
+// process.
 func (n *frontNode) listen(ctx context.Context) ([]*listener, error) {
 	readiness := httprouter.New()
 	readiness.GET(platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -226,7 +234,7 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	})
-	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, OnPolicyHint: n.takeHint})
+	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, OnPolicyHint: n.queueHint})
 	ports := []struct {
 		name    string
 		address netip.AddrPort
@@ -247,23 +255,23 @@
 			return nil, errors.Wrapf(err, "open the port for %s", port.name)
 		}
 		listeners = append(listeners, &listener{name: port.name, socket: socket, journal: n.journal, server: &http.Server{
-			Handler: port.handler, ReadHeaderTimeout: headerRead, IdleTimeout: idleCaller, MaxHeaderBytes: headerBytes,
+			Handler: port.handler, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout, MaxHeaderBytes: maxHeaderBytes,
 		}})
 	}
 	return listeners, nil
 }
 
-// serve answers until the server is stopped.
+// serve handles requests until the server is stopped.
 func (l *listener) serve(context.Context) {
 	if err := l.server.Serve(l.socket); !errors.Is(err, http.ErrServerClosed) {
-		l.journal.Info("port closed", "port", l.name, "error", err.Error())
+		l.journal.Info("port closed unexpectedly", "port", l.name, "error", err.Error())
 	}
 }
 
-// stop ends the port once its requests are answered, or when ctx ends.
+// stop closes the port once its requests are answered, or when ctx ends.
 func (l *listener) stop(ctx context.Context) {
 	if err := l.server.Shutdown(ctx); err != nil {
-		l.journal.Info("port not drained", "port", l.name, "error", err.Error())
+		l.journal.Info("port closed with requests in progress", "port", l.name, "error", err.Error())
 	}
 	_ = l.server.Close()
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,14 +1,14 @@
-// Package process assembles the two long-running programs from settings:
-// stores, ports, node, and the order of start and stop.
+// Package process assembles the long-running programs from their settings:
+// stores, ports and nodes, and the order of startup and shutdown.
 //
 // # Usage
 //
 //	err := process.RunEntry(ctx, config, logger) // ends after ctx, gracefully
 //
-// Start: the operations and peer ports open first, then the process joins the
-// roster, and only then opens its own port and is ready. Stop: not ready, the
-// balancer's delay, requests in flight end, permits and claims are handed
-// over, the roster drops the process, and it exits.
+// Startup: the process opens the operations and peer ports, joins the roster, and
+// then opens its own port and is ready. Shutdown: it reports not ready, waits for
+// the load balancer, finishes the requests in flight, hands over permits and
+// claims, waits until the roster has dropped it, and exits.
 package process
 
 import (
@@ -33,12 +33,14 @@
 const (
 	// peerTimeout bounds one call to a peer.
 	peerTimeout = 3 * time.Second
-	// certificateInterval is the time between two looks at the certificates' files.
+	// certificateInterval is the time between two checks of the certificate files.
 	certificateInterval = 5 * time.Second
-	// handOverPoll is the time between two looks at a stop's progress.
-	handOverPoll = 50 * time.Millisecond
-	// leaveShare is the part of the grace that is left for handing over.
-	leaveShare = 4
+	// leavePollInterval is the time between two checks whether the roster has
+	// dropped a stopping process.
+	leavePollInterval = 50 * time.Millisecond
+	// handOverDivisor: the grace period divided by it is the time, besides a
+	// second, for handing over.
+	handOverDivisor = 4
 )
 
 // Reasons for not being ready.
@@ -47,10 +49,10 @@
 	errDraining = errors.New("draining")
 )
 
-// errDropped ends a process that the platform no longer lists.
+// errDropped ends a process that the roster no longer contains.
 var errDropped = errors.New("the roster has dropped this process: its host is listed as gone")
 
-// process is what both programs have.
+// process holds what entries and managers have in common.
 type process struct {
 	config   settings.Config
 	log      *log.Logger
@@ -65,7 +67,7 @@
 	ports         []*port.Port
 }
 
-// newProcess builds the common parts.
+// newProcess creates the parts that entries and managers have in common.
 func newProcess(config settings.Config, role roster.Role, logger *log.Logger) (*process, error) {
 	p := &process{config: config, log: logger}
 	p.setReady(errStarting)
@@ -77,7 +79,7 @@
 		}
 		p.secret = string(secret)
 	}
-	dial := peer.Config{Secret: p.secret, Timeout: peerTimeout}
+	dialerConfig := peer.Config{Secret: p.secret, Timeout: peerTimeout}
 	if p.peerCerts, err = loadCerts(config.PeerTLS); err != nil {
 		return nil, errors.Wrap(err, "load the peer port's certificates")
 	}
@@ -85,9 +87,9 @@
 		return nil, errors.Wrap(err, "load the operator port's certificates")
 	}
 	if p.peerCerts != nil {
-		dial.TLS = p.peerCerts.Client()
+		dialerConfig.TLS = p.peerCerts.Client()
 	}
-	p.dialer = peer.New(dial)
+	p.dialer = peer.New(dialerConfig)
 	p.platform = platform.New(platform.Config{Address: config.PlatformAddress, Process: config.Name})
 	p.node = node.New(node.Config{
 		Self: roster.Member{
@@ -107,7 +109,7 @@
 // ready returns nil, or the reason for not being ready.
 func (p *process) ready() error { return *p.notReady.Load() }
 
-// open opens a port, which closes when the process ends.
+// open opens a port, which close closes.
 func (p *process) open(config port.Config) (*port.Port, error) {
 	config.MaxHeader = int(p.config.MaxHeader)
 	config.ReadHeaderTimeout = p.config.ReadHeaderTimeout
@@ -120,8 +122,8 @@
 	return opened, nil
 }
 
-// openInner opens the operations and peer ports.
-func (p *process) openInner(service peerpb.Peer, dump func() any) error {
+// openInternalPorts opens the operations and peer ports.
+func (p *process) openInternalPorts(service peerpb.Peer, dump func() any) error {
 	_, err := p.open(port.Config{
 		Name: "operations", Address: p.config.OperationsAddress,
 		Handler: operations.New(operations.Config{Ready: p.ready, Dump: dump}),
@@ -129,15 +131,15 @@
 	if err != nil {
 		return err
 	}
-	inner := port.Config{Name: "peer", Address: p.config.PeerAddress, Handler: peer.Handler(p.secret, service)}
+	peerPort := port.Config{Name: "peer", Address: p.config.PeerAddress, Handler: peer.Handler(p.secret, service)}
 	if p.peerCerts != nil {
-		inner.TLS = p.peerCerts.Server()
+		peerPort.TLS = p.peerCerts.Server()
 	}
-	_, err = p.open(inner)
+	_, err = p.open(peerPort)
 	return err
 }
 
-// reloadLoop takes up replaced certificates until the context ends.
+// reloadLoop reloads replaced certificates until the context ends.
 func (p *process) reloadLoop(ctx context.Context) {
 	ticker := time.NewTicker(certificateInterval)
 	defer ticker.Stop()
@@ -152,7 +154,7 @@
 	}
 }
 
-// reload takes up one port's certificates if they were replaced.
+// reload reloads one port's certificates if their files have changed.
 func (p *process) reload(name string, files *certs.Files) {
 	if files == nil {
 		return
@@ -173,11 +175,11 @@
 	return certs.New(certs.Config{Certificate: files.Certificate, Key: files.Key, Authority: files.Authority})
 }
 
-// leave marks the process as leaving and waits until the roster has dropped
-// it, which happens once others answer for its keys.
+// leave marks the process as leaving and waits until the roster has dropped it,
+// which happens once other processes own its keys.
 func (p *process) leave(ctx context.Context) {
 	if err := p.node.Leave(ctx); err != nil {
-		p.log.Warn("left without telling the roster", "reason", err.Error())
+		p.log.Warn("process not marked as leaving in the roster", "reason", err.Error())
 		return
 	}
 	for ctx.Err() == nil {
@@ -189,10 +191,10 @@
 		p.node.PollNow()
 		select {
 		case <-ctx.Done():
-		case <-time.After(handOverPoll):
+		case <-time.After(leavePollInterval):
 		}
 	}
-	p.log.Warn("still in the roster at the end of the grace")
+	p.log.Warn("process still in the roster at the end of the grace period")
 }
 
 // close closes all ports and connections.
@@ -205,8 +207,8 @@
 	p.platform.Close()
 }
 
-// pause waits, or returns early when the context ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -11,21 +11,21 @@
 	"github.com/lovagedyke/lovagedyke/platform"
 )
 
-// settingsEvery is the time between two looks at the settings file, which may
+// settingsInterval is the time between two checks of the settings file, which may
 // change without a signal.
-const settingsEvery = 2 * time.Second
+const settingsInterval = 2 * time.Second
 
-// reloadLoop notes changes of the settings file. Addresses and bounds hold for
-// one life of the process: they are in force from its next start.
+// reloadLoop checks and logs changes of the settings file. Addresses and bounds
+// take effect at the next start of the process.
 func (n *frontNode) reloadLoop(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
 	last, err := os.ReadFile(n.config.SettingsPath)
 	if err != nil {
-		n.journal.Info("settings not read", "error", err.Error())
+		n.journal.Info("settings file not read", "error", err.Error())
 	}
 	for {
 		cause := "file"
@@ -38,7 +38,7 @@
 		}
 		text, err := os.ReadFile(n.config.SettingsPath)
 		if err != nil {
-			n.journal.Info("settings not read", "error", err.Error())
+			n.journal.Info("settings file not read", "error", err.Error())
 			continue
 		}
 		if cause == "file" && bytes.Equal(text, last) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// reload checks a changed settings file.
+// reload decodes a changed settings file and logs whether it is valid.
 func (n *frontNode) reload(text []byte, cause string) {
 	settings, err := platform.DecodeSettings(text)
 	if err != nil {
