--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,12 +1,12 @@
-// Package explain puts together what the processes' logs say of one job.
+// Package explain collects the log lines about one job from the processes' logs.
 //
 // # Usage
 //
-//	story, err := explain.Read("5c0e7a21d94b36f8", files...)
-//	for _, line := range story.Lines { fmt.Println(line) }
+//	timeline, err := explain.Read("5c0e7a21d94b36f8", files...)
+//	for _, line := range timeline.Lines { fmt.Println(line) }
 //
-// A log is a file of JSON lines. Text before a line's first brace is passed
-// over, so that collected logs can be read as they are.
+// A log is a file of JSON lines. Text before a line's first brace is ignored, so
+// that logs whose lines were prefixed by a collector can be read as they are.
 package explain
 
 import (
@@ -25,13 +25,13 @@
 )
 
 const (
-	// lineMost bounds a line in bytes; the longest lines of ours hold an error's text.
-	lineMost = 1 << 20
-	// gapLeast is the time without a line from which a gap is named.
-	gapLeast = 2 * time.Second
+	// maxLineBytes bounds a line; the longest lines contain an error's text.
+	maxLineBytes = 1 << 20
+	// minGap is the shortest time between two lines that is reported as a gap.
+	minGap = 2 * time.Second
 )
 
-// Fields that every line has, and those that name a job.
+// Names of the fields that every line has.
 const (
 	fieldTime    = "time"
 	fieldMessage = "msg"
@@ -39,20 +39,21 @@
 	fieldLevel   = "level"
 )
 
+// idFields are the fields that hold a job's ID.
 var idFields = []string{"request-id", "job"}
 
-// Line is one event of a job's story.
+// Line is one logged event about a job.
 type Line struct {
 	At      time.Time
 	Process string
 	Event   string
-	// Fields holds the rest as name=value, in the order of the names.
+	// Fields holds the other fields as name=value, sorted by name.
 	Fields []string
-	// Gap is the time since the line before, if it is worth naming.
+	// Gap is the time since the previous line if it is at least minGap, else 0.
 	Gap time.Duration
 }
 
-// String is the line as a person reads it.
+// String returns the line in human-readable form.
 func (l Line) String() string {
 	out := fmt.Sprintf("%s  %-20s  %-18s  %s", l.At.Format("15:04:05.000"), l.Process, l.Event, strings.Join(l.Fields, " "))
 	if l.Gap > 0 {
@@ -61,48 +62,49 @@
 	return strings.TrimRight(out, " ")
 }
 
-// Story is what the logs say of a job, in the order of time.
-type Story struct {
+// Timeline holds the log lines about a job, sorted by time.
+type Timeline struct {
 	Lines []Line
 }
 
-// Read reads logs. Errors: no line is one of ours, or none names the job.
-func Read(id string, logs ...io.Reader) (Story, error) {
-	var story Story
-	seen := 0
+// Read returns the timeline of the job with an ID. It is an error if no line is
+// that of a lovagedyke process, or if none mentions the job.
+func Read(id string, logs ...io.Reader) (Timeline, error) {
+	var timeline Timeline
+	parsed := 0
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, lineMost)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			line, fields, ok := parse(scanner.Bytes())
 			if !ok {
 				continue
 			}
-			seen++
-			if names(fields, id) {
-				story.Lines = append(story.Lines, line)
+			parsed++
+			if mentionsJob(fields, id) {
+				timeline.Lines = append(timeline.Lines, line)
 			}
 		}
 		if err := scanner.Err(); err != nil {
-			return Story{}, errors.Wrap(err, "read the log")
+			return Timeline{}, errors.Wrap(err, "read the log")
 		}
 	}
-	if seen == 0 {
-		return Story{}, errors.New("no line of the logs is one of a lovagedyke process")
+	if parsed == 0 {
+		return Timeline{}, errors.New("no line of the logs is one of a lovagedyke process")
 	}
-	if len(story.Lines) == 0 {
-		return Story{}, errors.Newf("none of %d lines names %s", seen, id)
+	if len(timeline.Lines) == 0 {
+		return Timeline{}, errors.Newf("none of %d lines names %s", parsed, id)
 	}
-	slices.SortStableFunc(story.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	for i := 1; i < len(story.Lines); i++ {
-		if gap := story.Lines[i].At.Sub(story.Lines[i-1].At); gap >= gapLeast {
-			story.Lines[i].Gap = gap
+	slices.SortStableFunc(timeline.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	for i := 1; i < len(timeline.Lines); i++ {
+		if gap := timeline.Lines[i].At.Sub(timeline.Lines[i-1].At); gap >= minGap {
+			timeline.Lines[i].Gap = gap
 		}
 	}
-	return story, nil
+	return timeline, nil
 }
 
-// parse reads a line.
+// parse decodes a line. It returns false for lines of other programs.
 func parse(text []byte) (Line, map[string]any, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
@@ -113,8 +115,8 @@
 		return Line{}, nil, false
 	}
 	event, _ := fields[fieldMessage].(string)
-	written, _ := fields[fieldTime].(string)
-	at, err := time.Parse(time.RFC3339, written)
+	timestamp, _ := fields[fieldTime].(string)
+	at, err := time.Parse(time.RFC3339, timestamp)
 	if err != nil || event == "" {
 		return Line{}, nil, false
 	}
@@ -131,8 +133,8 @@
 	return line, fields, true
 }
 
-// names reports whether a line is about a job.
-func names(fields map[string]any, id string) bool {
+// mentionsJob reports whether one of the idFields holds the job's ID.
+func mentionsJob(fields map[string]any, id string) bool {
 	for _, field := range idFields {
 		if value, ok := fields[field].(string); ok && value == id {
 			return true
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -18,18 +18,18 @@
 `
 
 func TestRead(t *testing.T) {
-	story, err := explain.Read(id, strings.NewReader(logText))
+	timeline, err := explain.Read(id, strings.NewReader(logText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var events []string
-	for _, line := range story.Lines {
+	for _, line := range timeline.Lines {
 		events = append(events, line.Event)
 	}
 	if got, want := strings.Join(events, ", "), "request answered, job taken, run start"; got != want {
 		t.Errorf("events: got %s, want %s", got, want)
 	}
-	last := story.Lines[2].String()
+	last := timeline.Lines[2].String()
 	for _, want := range []string{"nothing for 6.5s", "06:00:09.000", "front-2", "endpoint=i-1"} {
 		if !strings.Contains(last, want) {
 			t.Errorf("last line: got %q, want %q in it", last, want)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,12 +1,13 @@
-// Package logging sets up the log of a process: one line an event, with field
-// names in kebab case.
+// Package logging configures the structured log of a process: one line per event,
+// with field names in kebab case.
 //
 // # Usage
 //
 //	logger := logging.New(logging.Config{Writer: os.Stderr, Format: settings.LogJSON, Level: "info"})
 //	logger.Info("request refused", "request-id", id, "reason", reason)
 //
-// Keys are never logged; keyring.Secret and keyring.Key print without secrets.
+// Keys are never logged: keyring.Secret and keyring.Key redact themselves when
+// printed.
 package logging
 
 import (
@@ -26,11 +27,11 @@
 	Format settings.LogFormat
 	// Level is debug, info, warn or error; anything else means info.
 	Level string
-	// Fields stand on every line, as pairs of name and value.
+	// Fields are added to every line, as alternating names and values.
 	Fields []any
 }
 
-// New returns a logger.
+// New returns a logger with timestamps in UTC.
 func New(config Config) *log.Logger {
 	level, err := log.ParseLevel(config.Level)
 	if err != nil {
--- a/internal/loops/loops.go
+++ b/internal/loops/loops.go
@@ -1,6 +1,6 @@
-// Package loops runs the endless loops of a process part together: when one of
-// them panics, for a broken invariant, the others are ended and the panic stops
-// the process.
+// Package loops runs a group of long-running goroutines ("loops"): when one of
+// them panics, for a broken invariant, the others are cancelled and Wait repeats
+// the panic, which ends the process.
 //
 // # Usage
 //
@@ -16,24 +16,24 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Group is a set of loops with one context.
+// Group is a set of loops with a common context.
 type Group struct {
 	wait   conc.WaitGroup
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// New returns a group without loops.
+// New returns an empty group whose context derives from ctx.
 func New(ctx context.Context) *Group {
 	ctx, cancel := context.WithCancel(ctx)
 	return &Group{ctx: ctx, cancel: cancel}
 }
 
-// Go starts a loop, which returns when its context ends. A loop may start others.
+// Go starts a loop, which must return when its context ends. A loop may start others.
 func (g *Group) Go(loop func(ctx context.Context)) {
 	g.wait.Go(func() {
 		defer func() {
-			// A loop that panics ends the others; Wait passes the panic on.
+			// Cancel the other loops; Wait repeats the panic.
 			if cause := recover(); cause != nil {
 				g.cancel()
 				panic(cause)
@@ -43,7 +43,7 @@
 	})
 }
 
-// Done is closed when the loops have to end.
+// Done returns a channel that is closed when the loops have to return.
 func (g *Group) Done() <-chan struct{} {
 	return g.ctx.Done()
 }
--- a/internal/loops/loops_test.go
+++ b/internal/loops/loops_test.go
@@ -8,7 +8,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/loops"
 )
 
-func TestPanicEndsTheOtherLoops(t *testing.T) {
+func TestPanicCancelsOtherLoops(t *testing.T) {
 	group := loops.New(context.Background())
 	ended := make(chan struct{})
 	group.Go(func(ctx context.Context) {
@@ -27,7 +27,7 @@
 	t.Error("Wait: got a return, want a panic")
 }
 
-func TestWaitReturnsAfterTheContext(t *testing.T) {
+func TestWaitReturnsAfterContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := loops.New(ctx)
 	group.Go(func(ctx context.Context) { <-ctx.Done() })
@@ -35,7 +35,7 @@
 	group.Wait()
 }
 
-func TestLoopsMayStartOthersWhileWaited(t *testing.T) {
+func TestGoDuringWait(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := loops.New(ctx)
 	waiting, started := make(chan struct{}), make(chan struct{})
