--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -68,7 +68,7 @@
 	Bounds     fleet.Bounds
 	Journal    Journal
 	// Lost is called when the leadership with this token is found to be over.
-	Lost func(token uint64, why string)
+	Lost func(token uint64, reason string)
 	// MajorityConfirmedAt returns when a majority of the processes last
 	// confirmed this process as leader.
 	MajorityConfirmedAt func() time.Time
@@ -99,7 +99,7 @@
 	case c.terms <- t:
 	default:
 		// The previous term has ended, but Run has not finished it yet.
-		c.config.Lost(claim.Token, "the process is still ending an earlier leadership")
+		c.config.Lost(claim.Token, "the process is still ending its previous term")
 	}
 }
 
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -155,7 +155,7 @@
 	}
 	metrics.GetOrCreateCounter(`orders_total{kind="` + kind + `",outcome="` + string(reply.Outcome) + `"}`).Inc()
 	if !isLeader {
-		t.config.Lost(t.claim.Token, "an endpoint knows a later leader")
+		t.config.Lost(t.claim.Token, "an endpoint knows a newer leader")
 	}
 	if reply.Outcome != fleet.OrderTaken {
 		signal(s.wake)
@@ -216,7 +216,7 @@
 	})
 	t.requestStep()
 	if reply.Outcome == fleet.OrderFenced {
-		t.config.Lost(t.claim.Token, "an endpoint knows a later leader")
+		t.config.Lost(t.claim.Token, "an endpoint knows a newer leader")
 	}
 	if len(report.Ended) > 0 {
 		sleep(ctx, completionBatchDelay)
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -138,7 +138,7 @@
 		t.reportHostChange(next, outcome)
 	})
 	if outcome == fleet.ChangeFenced {
-		t.config.Lost(t.claim.Token, "the host interface knows a later leader")
+		t.config.Lost(t.claim.Token, "the host interface knows a newer leader")
 	}
 	t.requestStep()
 }
--- a/internal/control/term.go
+++ b/internal/control/term.go
@@ -79,7 +79,7 @@
 	t.writer = newWriter(writerConfig{
 		Store: c.config.Store, Journal: c.config.Journal, Token: claim.Token, ClaimVersion: version,
 		Confirmed: func(sentAt time.Time) { t.locked(func() { t.leader.Confirm(sentAt) }) },
-		Lost:      func() { c.config.Lost(claim.Token, "the claim has changed") },
+		Lost:      func() { c.config.Lost(claim.Token, "another process has changed the leadership claim") },
 	})
 	return t
 }
--- a/internal/member/exclusion_test.go
+++ b/internal/member/exclusion_test.go
@@ -14,13 +14,13 @@
 		observations []observation
 		want         bool
 	}{
-		"away for all":                     {observations: []observation{{0, false, false}, {4 * time.Second, false, false}}},
-		"back for a peer a moment earlier": {observations: []observation{{0, false, false}, {4 * time.Second, false, true}, {time.Second / 2, true, true}}},
-		"back for a peer, just now":        {observations: []observation{{0, false, false}, {4 * time.Second, false, true}}},
-		"back for a peer, not for us":      {observations: []observation{{0, false, false}, {time.Second, false, true}, {time.Second, false, true}}, want: true},
-		"away for us alone":                {observations: []observation{{0, false, true}}, want: true},
-		"served in between":                {observations: []observation{{0, false, false}, {time.Second, true, true}, {time.Second, false, true}}, want: true},
-		"away for all in between":          {observations: []observation{{0, false, false}, {time.Second, false, true}, {time.Second, false, false}, {time.Second, false, true}}},
+		"down for all":                         {observations: []observation{{0, false, false}, {4 * time.Second, false, false}}},
+		"up for a peer a moment earlier":       {observations: []observation{{0, false, false}, {4 * time.Second, false, true}, {time.Second / 2, true, true}}},
+		"up for a peer since just now":         {observations: []observation{{0, false, false}, {4 * time.Second, false, true}}},
+		"up for a peer, down for this process": {observations: []observation{{0, false, false}, {time.Second, false, true}, {time.Second, false, true}}, want: true},
+		"down for this process alone":          {observations: []observation{{0, false, true}}, want: true},
+		"up in between":                        {observations: []observation{{0, false, false}, {time.Second, true, true}, {time.Second, false, true}}, want: true},
+		"down for all in between":              {observations: []observation{{0, false, false}, {time.Second, false, true}, {time.Second, false, false}, {time.Second, false, true}}},
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/member/leadership.go
+++ b/internal/member/leadership.go
@@ -45,7 +45,7 @@
 	n.mu.Unlock()
 	switch {
 	case isExcluded && !n.reachesStore(ctx):
-		if n.handOver(ctx, "store turns us away") {
+		if n.handOver(ctx, "the store is unreachable for this process alone") {
 			return
 		}
 	default:
@@ -183,7 +183,7 @@
 
 // Lost ends this process's leadership, for instance after the store or an
 // endpoint has reported a newer leader.
-func (n *Node) Lost(token uint64, why string) {
+func (n *Node) Lost(token uint64, reason string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading || n.claim.Token != token {
@@ -192,13 +192,13 @@
 	n.leading = false
 	n.cancelTerm()
 	n.leaderHeardAt = time.Time{}
-	n.config.Journal.Info("leadership lost", "token", token, "why", why)
+	n.config.Journal.Info("leadership lost", "token", token, "why", reason)
 	n.wakeUp()
 }
 
 // handOver offers the leadership to a peer that reaches the store while this
 // process has not reached it for some time. It reports whether a peer accepted.
-func (n *Node) handOver(ctx context.Context, why string) bool {
+func (n *Node) handOver(ctx context.Context, reason string) bool {
 	n.mu.Lock()
 	token := n.claim.Token
 	n.mu.Unlock()
@@ -216,7 +216,7 @@
 		if !n.storeExclusion.observe(false, true, time.Now()) {
 			return false
 		}
-		if n.offerLeadership(ctx, member, token, why) {
+		if n.offerLeadership(ctx, member, token, reason) {
 			return true
 		}
 	}
@@ -244,7 +244,7 @@
 		if err != nil || !view.StoreReached {
 			continue
 		}
-		if n.offerLeadership(ctx, member, token, "a stronger process is there") {
+		if n.offerLeadership(ctx, member, token, "a process with more CPU is available") {
 			return true
 		}
 	}
@@ -253,14 +253,14 @@
 
 // offerLeadership asks a process to take over the leadership. It reports
 // whether the process accepted.
-func (n *Node) offerLeadership(ctx context.Context, member record.Member, token uint64, why string) bool {
+func (n *Node) offerLeadership(ctx context.Context, member record.Member, token uint64, reason string) bool {
 	callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	if _, err := n.dialer.dial(member.Address).Lead(callCtx, &memberpb.LeadRequest{Token: token}); err != nil {
 		return false
 	}
-	n.config.Journal.Info("leadership handed over", "to", member.Name, "token", token, "why", why)
-	n.Lost(token, why)
+	n.config.Journal.Info("leadership handed over", "to", member.Name, "token", token, "why", reason)
+	n.Lost(token, reason)
 	return true
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -192,8 +192,8 @@
 func TestSuccession(t *testing.T) {
 	ends := map[string]func(p *process){
 		"killed":                 func(p *process) { p.kill() },
-		"stopped in order":       func(p *process) { p.node.Stop(context.Background()) },
-		"turned away by a store": func(p *process) { p.blockableStore.setBlocked(true); p.node.ObserveStore(table.ErrUnavailable) },
+		"stopped gracefully":     func(p *process) { p.node.Stop(context.Background()) },
+		"cut off from the store": func(p *process) { p.blockableStore.setBlocked(true); p.node.ObserveStore(table.ErrUnavailable) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
--- a/internal/process/feeds_test.go
+++ b/internal/process/feeds_test.go
@@ -19,9 +19,9 @@
 		newer              map[string]bool
 		minAsked, maxAsked int
 	}{
-		"none has news":      {minAsked: len(peers), maxAsked: len(peers)},
-		"the first has news": {newer: map[string]bool{"node-0": true}, minAsked: 1, maxAsked: peerBatchSize},
-		"one later has":      {newer: map[string]bool{"node-9": true}, minAsked: 10, maxAsked: 10 + peerBatchSize},
+		"none is newer":        {minAsked: len(peers), maxAsked: len(peers)},
+		"the first is newer":   {newer: map[string]bool{"node-0": true}, minAsked: 1, maxAsked: peerBatchSize},
+		"a later one is newer": {newer: map[string]bool{"node-9": true}, minAsked: 10, maxAsked: 10 + peerBatchSize},
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
