--- a/internal/ingress/writer.go
+++ b/internal/ingress/writer.go
@@ -98,7 +98,7 @@
 	select {
 	case w.shards[record.Shard(submission.ID)] <- entry:
 	default:
-		w.config.Journal.Info("write queue full", "request-id", submission.ID)
+		w.config.Journal.Info("job refused: write queue full", "request-id", submission.ID)
 		return outcomeRefused
 	}
 	select {
--- a/internal/member/exclusion.go
+++ b/internal/member/exclusion.go
@@ -17,12 +17,12 @@
 
 // observe records whether the store answers this process and whether it answers
 // a peer. It reports whether the store is unreachable for this process alone.
-func (p *storeExclusion) observe(isServed, isPeerServed bool, now time.Time) bool {
+func (p *storeExclusion) observe(isReachable, isPeerReachable bool, now time.Time) bool {
 	switch {
-	case isServed:
+	case isReachable:
 		*p = storeExclusion{}
 		return false
-	case !isPeerServed:
+	case !isPeerReachable:
 		*p = storeExclusion{wasDown: true}
 		return false
 	case !p.wasDown:
--- a/internal/member/exclusion_test.go
+++ b/internal/member/exclusion_test.go
@@ -7,8 +7,8 @@
 
 func TestStoreExclusion(t *testing.T) {
 	type observation struct {
-		after                  time.Duration
-		isServed, isPeerServed bool
+		after                        time.Duration
+		isReachable, isPeerReachable bool
 	}
 	tests := map[string]struct {
 		observations []observation
@@ -28,7 +28,7 @@
 			now, got := time.Unix(1000, 0), false
 			for _, s := range c.observations {
 				now = now.Add(s.after)
-				got = p.observe(s.isServed, s.isPeerServed, now)
+				got = p.observe(s.isReachable, s.isPeerReachable, now)
 			}
 			if got != c.want {
 				t.Errorf("store unreachable for this process alone: got %v, want %v", got, c.want)
--- a/internal/member/leadership.go
+++ b/internal/member/leadership.go
@@ -202,7 +202,7 @@
 	n.mu.Lock()
 	token := n.claim.Token
 	n.mu.Unlock()
-	isPeerServed := false
+	isPeerReachable := false
 	for _, member := range n.otherMembers() {
 		view, err := n.fetchView(ctx, member.Address)
 		if err != nil {
@@ -212,7 +212,7 @@
 		if !view.StoreReached {
 			continue
 		}
-		isPeerServed = true
+		isPeerReachable = true
 		if !n.storeExclusion.observe(false, true, time.Now()) {
 			return false
 		}
@@ -220,7 +220,7 @@
 			return true
 		}
 	}
-	if !isPeerServed {
+	if !isPeerReachable {
 		n.storeExclusion.observe(false, false, time.Now())
 	}
 	return false
