--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -37,11 +37,11 @@
 // is set. It reports whether the store has committed them.
 func (t *term) writeNext(ctx context.Context, renew bool) bool {
 	var batch fleet.Batch
-	var waves []fleet.WaveNews
+	var waves []fleet.WaveProgress
 	hasBatch := false
 	t.locked(func() {
 		batch, hasBatch = t.leader.NextBatch()
-		waves = t.leader.WaveNews()
+		waves = t.leader.WaveProgress()
 	})
 	if !hasBatch && len(waves) == 0 && !renew {
 		return true
@@ -62,7 +62,7 @@
 	}
 	t.writeWaveStatus(ctx, waves)
 	if hasBatch {
-		t.locked(func() { t.leader.BatchWritten(batch, time.Now()) })
+		t.locked(func() { t.leader.MarkBatchWritten(batch, time.Now()) })
 		t.wakeEndpoints()
 		t.requestStep()
 	}
@@ -71,7 +71,7 @@
 
 // writeWaveStatus writes the rows in which operators read the state of
 // maintenance waves.
-func (t *term) writeWaveStatus(ctx context.Context, waves []fleet.WaveNews) {
+func (t *term) writeWaveStatus(ctx context.Context, waves []fleet.WaveProgress) {
 	for _, wave := range waves {
 		txn := table.Txn{Writes: []table.Write{{
 			Key: t.config.WaveStatus.Key(wave.Number), Value: t.config.WaveStatus.Encode(wave.Number, wave.Complete),
@@ -96,9 +96,9 @@
 func (t *term) cleanupLoop(ctx context.Context) {
 	for sleep(ctx, cleanupInterval) {
 		var ids []job.ID
-		t.locked(func() { ids = t.leader.Forgettable(time.Now(), maxCleanupJobs) })
+		t.locked(func() { ids = t.leader.ExpiredJobs(time.Now(), maxCleanupJobs) })
 		if len(ids) > 0 && t.deleteRows(ctx, ids) {
-			t.locked(func() { t.leader.Forget(ids) })
+			t.locked(func() { t.leader.ForgetJobs(ids) })
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	byShard := map[int][]table.Write{}
 	var progress table.Txn
 	for _, id := range ids {
-		shard := record.Shard(id)
+		shard := record.ShardOf(id)
 		byShard[shard] = append(byShard[shard],
 			table.Write{Key: record.JobKey(id), Delete: true}, table.Write{Key: record.CancelKey(id), Delete: true})
 		progress.Writes = append(progress.Writes, table.Write{Key: record.ProgressKey(id), Delete: true})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,8 +16,8 @@
 type Endpoints interface {
 	Start(ctx context.Context, to fleet.EndpointAddress, token uint64, start fleet.Start) fleet.Reply
 	Stop(ctx context.Context, to fleet.EndpointAddress, token uint64, stop fleet.Stop) fleet.Reply
-	Throttle(ctx context.Context, to fleet.EndpointAddress, token uint64, pace fleet.Pace) fleet.Reply
-	RenewLease(ctx context.Context, to fleet.EndpointAddress, token uint64, hold fleet.Hold) (fleet.Look, fleet.Reply)
+	Throttle(ctx context.Context, to fleet.EndpointAddress, token uint64, pace fleet.Throttle) fleet.Reply
+	RenewLease(ctx context.Context, to fleet.EndpointAddress, token uint64, hold fleet.LeaseRenewal) (fleet.Report, fleet.Reply)
 }
 
 // EndpointList is the platform's list of endpoints.
@@ -35,7 +35,7 @@
 
 // Advice is the service that tells which endpoints may run a step.
 type Advice interface {
-	Ask(ctx context.Context, ask fleet.Ask) (fleet.Granted, error)
+	Ask(ctx context.Context, ask fleet.AdviceRequest) (fleet.AdviceGrant, error)
 }
 
 // Feed reads tables and follows their changes.
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -27,7 +27,7 @@
 type order struct {
 	start    *fleet.Start
 	stop     *fleet.Stop
-	throttle *fleet.Pace
+	throttle *fleet.Throttle
 }
 
 // endpointSession sends orders and lease renewals to one endpoint during a term.
@@ -92,7 +92,7 @@
 		}
 	}
 	if next.start != nil {
-		t.leader.StartAnswered(*next.start, fleet.Reply{Outcome: fleet.OrderUnsent}, time.Now())
+		t.leader.HandleStartReply(*next.start, fleet.Reply{Outcome: fleet.OrderNotSent}, time.Now())
 	}
 }
 
@@ -128,7 +128,7 @@
 func (s *endpointSession) execute(ctx context.Context, next order) {
 	t := s.term
 	to, ok := s.address()
-	reply := fleet.Reply{Outcome: fleet.OrderUnsent}
+	reply := fleet.Reply{Outcome: fleet.OrderNotSent}
 	kind := "pace"
 	isLeader := true
 	switch {
@@ -138,7 +138,7 @@
 			reply = t.config.Endpoints.Start(ctx, to, t.claim.Token, *next.start)
 		}
 		t.locked(func() {
-			isLeader = t.leader.StartAnswered(*next.start, reply, time.Now())
+			isLeader = t.leader.HandleStartReply(*next.start, reply, time.Now())
 		})
 	case next.stop != nil:
 		kind = "stop"
@@ -146,7 +146,7 @@
 			reply = t.config.Endpoints.Stop(ctx, to, t.claim.Token, *next.stop)
 		}
 		t.locked(func() {
-			isLeader = t.leader.StopAnswered(*next.stop, reply, time.Now())
+			isLeader = t.leader.HandleStopReply(*next.stop, reply, time.Now())
 		})
 	default:
 		if ok {
@@ -157,7 +157,7 @@
 	if !isLeader {
 		t.config.Lost(t.claim.Token, "an endpoint knows a newer leader")
 	}
-	if reply.Outcome != fleet.OrderTaken {
+	if reply.Outcome != fleet.OrderAccepted {
 		signal(s.wake)
 		t.requestStep()
 	}
@@ -166,10 +166,10 @@
 // renewLoop renews the endpoint's lease whenever the leader says it is due.
 func (s *endpointSession) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		var renewal fleet.Hold
+		var renewal fleet.LeaseRenewal
 		isDue := false
 		s.term.locked(func() {
-			renewal, isDue = s.term.leader.NextLook(s.id, time.Now())
+			renewal, isDue = s.term.leader.NextRenewal(s.id, time.Now())
 		})
 		if !isDue {
 			s.waitForWake(ctx, maxRenewWait)
@@ -194,7 +194,7 @@
 
 // renewLease sends one lease renewal and passes the endpoint's report to the
 // leader. It reports whether the endpoint accepted the renewal.
-func (s *endpointSession) renewLease(ctx context.Context, renewal fleet.Hold) bool {
+func (s *endpointSession) renewLease(ctx context.Context, renewal fleet.LeaseRenewal) bool {
 	t := s.term
 	to, ok := s.address()
 	if !ok {
@@ -208,18 +208,18 @@
 	now := time.Now()
 	metrics.GetOrCreateCounter(`orders_total{kind="look",outcome="` + string(reply.Outcome) + `"}`).Inc()
 	t.locked(func() {
-		if reply.Outcome == fleet.OrderTaken {
-			t.leader.Looked(s.id, renewal, sentAt, report, now)
+		if reply.Outcome == fleet.OrderAccepted {
+			t.leader.HandleReport(s.id, renewal, sentAt, report, now)
 		} else {
-			t.leader.LookFailed(s.id, reply, now)
+			t.leader.RenewalFailed(s.id, reply, now)
 		}
 	})
 	t.requestStep()
 	if reply.Outcome == fleet.OrderFenced {
 		t.config.Lost(t.claim.Token, "an endpoint knows a newer leader")
 	}
-	if len(report.Ended) > 0 {
+	if len(report.Completions) > 0 {
 		sleep(ctx, completionBatchDelay)
 	}
-	return reply.Outcome == fleet.OrderTaken
+	return reply.Outcome == fleet.OrderAccepted
 }
--- a/internal/control/feeds.go
+++ b/internal/control/feeds.go
@@ -46,7 +46,7 @@
 		known = err == nil || known && !errors.Is(err, table.ErrHistoryLost)
 		pause := endpointFeedInterval
 		t.locked(func() {
-			if t.leader.HostsChanging(time.Now()) {
+			if t.leader.HostChangeDue(time.Now()) {
 				pause = busyEndpointFeedInterval
 			}
 		})
@@ -71,11 +71,11 @@
 		listed := map[fleet.EndpointID]bool{}
 		for _, endpoint := range endpoints {
 			listed[endpoint.ID] = true
-			t.leader.EndpointListed(endpoint, now)
+			t.leader.UpdateEndpoint(endpoint, now)
 		}
 		for _, id := range t.leader.EndpointIDs() {
 			if !listed[id] {
-				t.leader.EndpointUnlisted(id, now)
+				t.leader.RemoveEndpoint(id, now)
 			}
 		}
 	})
@@ -92,10 +92,10 @@
 	now := time.Now()
 	t.locked(func() {
 		for _, endpoint := range listed {
-			t.leader.EndpointListed(endpoint, now)
+			t.leader.UpdateEndpoint(endpoint, now)
 		}
 		for _, id := range gone {
-			t.leader.EndpointUnlisted(id, now)
+			t.leader.RemoveEndpoint(id, now)
 		}
 	})
 	t.requestStep()
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -34,7 +34,7 @@
 // hostOrder is a change of a host; exactly one field is set.
 type hostOrder struct {
 	move        *fleet.Move
-	maintenance *fleet.Upkeep
+	maintenance *fleet.MaintenanceOrder
 }
 
 // host returns the host that is changed.
@@ -57,11 +57,11 @@
 
 // queueAdviceQuery queues a query, and reports it as failed if the queue is
 // full; t.mu must be held.
-func (t *term) queueAdviceQuery(query fleet.Ask) {
+func (t *term) queueAdviceQuery(query fleet.AdviceRequest) {
 	select {
 	case t.adviceQueries <- query:
 	default:
-		t.leader.Advised(query, fleet.Granted{}, false, time.Now())
+		t.leader.HandleAdvice(query, fleet.AdviceGrant{}, false, time.Now())
 	}
 }
 
@@ -69,10 +69,10 @@
 func (t *term) reportHostChange(done hostOrder, outcome fleet.ChangeOutcome) {
 	now := time.Now()
 	if done.move != nil {
-		t.leader.MoveAnswered(*done.move, outcome, now)
+		t.leader.HandleMoveReply(*done.move, outcome, now)
 		return
 	}
-	t.leader.UpkeepAnswered(*done.maintenance, outcome, now)
+	t.leader.HandleMaintenanceReply(*done.maintenance, outcome, now)
 }
 
 // hostLoop executes host changes, after it has recorded the hosts in the store:
@@ -106,8 +106,8 @@
 func (t *term) executeHostOrders(ctx context.Context, changes []hostOrder) {
 	var txn table.Txn
 	for _, next := range changes {
-		row := record.Change{At: time.Now().Round(0)}
-		txn.Writes = append(txn.Writes, table.Write{Key: record.ChangeKey(string(next.host())), Value: record.Encode(row)})
+		row := record.HostChange{At: time.Now().Round(0)}
+		txn.Writes = append(txn.Writes, table.Write{Key: record.HostChangeKey(string(next.host())), Value: record.Encode(row)})
 	}
 	if !t.writer.commit(ctx, txn, false) {
 		t.locked(func() {
@@ -152,9 +152,9 @@
 		isBusy := false
 		t.locked(func() {
 			if err == nil {
-				t.leader.HostsListed(list, sentAt, now)
+				t.leader.UpdateHosts(list, sentAt, now)
 			}
-			isBusy = t.leader.WantsHosts(now) || err != nil
+			isBusy = t.leader.NeedsHostList(now) || err != nil
 		})
 		if err != nil {
 			t.config.Journal.Info("hosts not read", "error", err.Error())
@@ -166,7 +166,7 @@
 				return
 			}
 			t.locked(func() {
-				isBusy = isBusy || t.leader.WantsHosts(time.Now())
+				isBusy = isBusy || t.leader.NeedsHostList(time.Now())
 			})
 			if isBusy {
 				break
@@ -186,7 +186,7 @@
 			granted, err := t.config.Advice.Ask(queryCtx, query)
 			cancel()
 			t.locked(func() {
-				t.leader.Advised(query, granted, err == nil, time.Now())
+				t.leader.HandleAdvice(query, granted, err == nil, time.Now())
 			})
 			t.requestStep()
 		}
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -44,13 +44,13 @@
 		t.leader.SetPolicy(current)
 	}
 	for _, wave := range waves {
-		t.leader.WaveListed(wave, now)
+		t.leader.UpdateWave(wave, now)
 	}
 	for number, wave := range rows.waves {
-		t.leader.WaveLoaded(number, wave.Done, wave.Complete)
+		t.leader.LoadWave(number, wave.Done, wave.Complete)
 	}
 	for host, change := range rows.changes {
-		t.leader.ChangeLoaded(host, change.At, now.Round(0), now)
+		t.leader.LoadHostChange(host, change.At, now.Round(0), now)
 	}
 	t.leader.Load(rows.jobs, now, now)
 	t.loaded = true
@@ -58,15 +58,15 @@
 
 // loadedRows is the stored state that a new leader starts from.
 type loadedRows struct {
-	jobs    []fleet.Stored
+	jobs    []fleet.StoredJob
 	waves   map[int64]record.Wave
-	changes map[fleet.HostID]record.Change
+	changes map[fleet.HostID]record.HostChange
 }
 
 // readRows reads jobs, cancels, progress, waves and host changes.
 func (t *term) readRows() (loadedRows, error) {
 	cancelled := map[job.ID]bool{}
-	stored := map[job.ID]*fleet.Stored{}
+	stored := map[job.ID]*fleet.StoredJob{}
 	for shard := range record.JobShards {
 		if err := t.readShard(shard, stored, cancelled); err != nil {
 			return loadedRows{}, err
@@ -92,26 +92,26 @@
 }
 
 // readChanges reads when a change of each host was last recorded.
-func (t *term) readChanges() (map[fleet.HostID]record.Change, error) {
-	rows, err := t.config.Store.Scan(t.ctx, record.ChangePrefix)
+func (t *term) readChanges() (map[fleet.HostID]record.HostChange, error) {
+	rows, err := t.config.Store.Scan(t.ctx, record.HostChangePrefix)
 	if err != nil {
 		return nil, err
 	}
-	changes := map[fleet.HostID]record.Change{}
+	changes := map[fleet.HostID]record.HostChange{}
 	for _, row := range rows {
-		change, err := record.Decode[record.Change](row.Value)
+		change, err := record.Decode[record.HostChange](row.Value)
 		if err != nil {
 			t.config.Journal.Info("host change row cannot be decoded", "key", row.Key, "version", row.Version, "error", err.Error())
 			// Assume that the change has just been recorded.
 			change.At = time.Now().Round(0)
 		}
-		changes[fleet.HostID(record.IDOf(row.Key))] = change
+		changes[fleet.HostID(record.LastSegment(row.Key))] = change
 	}
 	return changes, nil
 }
 
 // readShard reads one shard of the jobs and cancels.
-func (t *term) readShard(shard int, stored map[job.ID]*fleet.Stored, cancelled map[job.ID]bool) error {
+func (t *term) readShard(shard int, stored map[job.ID]*fleet.StoredJob, cancelled map[job.ID]bool) error {
 	rows, err := t.config.Store.Scan(t.ctx, record.JobPrefix(shard))
 	if err != nil {
 		return err
@@ -122,18 +122,18 @@
 			t.config.Journal.Info("job row cannot be decoded", "key", row.Key, "version", row.Version, "error", err.Error())
 			continue
 		}
-		stored[submission.ID] = &fleet.Stored{Submission: submission}
+		stored[submission.ID] = &fleet.StoredJob{Submission: submission}
 	}
 	rows, err = t.config.Store.Scan(t.ctx, record.CancelPrefix(shard))
 	for _, row := range rows {
-		cancelled[job.ID(record.IDOf(row.Key))] = true
+		cancelled[job.ID(record.LastSegment(row.Key))] = true
 	}
 	return err
 }
 
 // decodeProgress decodes a progress row into the job that it belongs to.
-func (t *term) decodeProgress(stored map[job.ID]*fleet.Stored, row table.Row) {
-	entry := stored[job.ID(record.IDOf(row.Key))]
+func (t *term) decodeProgress(stored map[job.ID]*fleet.StoredJob, row table.Row) {
+	entry := stored[job.ID(record.LastSegment(row.Key))]
 	if entry == nil {
 		return
 	}
@@ -182,14 +182,14 @@
 				continue
 			}
 			now := time.Now()
-			t.locked(func() { t.leader.Found(id, stored, now, now) })
+			t.locked(func() { t.leader.HandleLookup(id, stored, now, now) })
 			t.requestStep()
 		}
 	}
 }
 
 // readJob reads one job's rows. It returns nil if the job does not exist.
-func (t *term) readJob(ctx context.Context, id job.ID) (*fleet.Stored, error) {
+func (t *term) readJob(ctx context.Context, id job.ID) (*fleet.StoredJob, error) {
 	rows, err := t.config.Store.Get(ctx, record.JobKey(id), record.CancelKey(id), record.ProgressKey(id))
 	if err != nil {
 		return nil, err
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	stored := map[job.ID]*fleet.Stored{id: {Submission: submission, Cancelled: rows[1].Version != table.Absent}}
+	stored := map[job.ID]*fleet.StoredJob{id: {Submission: submission, Cancelled: rows[1].Version != table.Absent}}
 	if rows[2].Version != table.Absent {
 		t.decodeProgress(stored, rows[2])
 	}
--- a/internal/control/term.go
+++ b/internal/control/term.go
@@ -61,7 +61,7 @@
 	// wakeStep wakes stepLoop, wakeBatch wakes batchLoop.
 	wakeStep, wakeBatch chan struct{}
 	hostOrders          chan hostOrder
-	adviceQueries       chan fleet.Ask
+	adviceQueries       chan fleet.AdviceRequest
 	lookups             chan job.ID
 }
 
@@ -73,12 +73,12 @@
 		}),
 		sessions: map[fleet.EndpointID]*endpointSession{},
 		wakeStep: make(chan struct{}, 1), wakeBatch: make(chan struct{}, 1),
-		hostOrders: make(chan hostOrder, hostOrderQueueSize), adviceQueries: make(chan fleet.Ask, adviceQueueSize),
+		hostOrders: make(chan hostOrder, hostOrderQueueSize), adviceQueries: make(chan fleet.AdviceRequest, adviceQueueSize),
 		lookups: make(chan job.ID, lookupQueueSize),
 	}
 	t.writer = newWriter(writerConfig{
 		Store: c.config.Store, Journal: c.config.Journal, Token: claim.Token, ClaimVersion: version,
-		Confirmed: func(sentAt time.Time) { t.locked(func() { t.leader.Confirm(sentAt) }) },
+		Confirmed: func(sentAt time.Time) { t.locked(func() { t.leader.ConfirmLeadership(sentAt) }) },
 		Lost:      func() { c.config.Lost(claim.Token, "another process has changed the leadership claim") },
 	})
 	return t
@@ -156,20 +156,20 @@
 
 // setWave adds or updates a maintenance wave.
 func (t *term) setWave(wave fleet.WaveRow) {
-	t.locked(func() { t.leader.WaveListed(wave, time.Now()) })
+	t.locked(func() { t.leader.UpdateWave(wave, time.Now()) })
 	t.requestStep()
 }
 
 // accept adds a job that is stored.
 func (t *term) accept(submission *job.Submission) {
 	now := time.Now()
-	t.locked(func() { t.leader.Accepted(submission, now, now) })
+	t.locked(func() { t.leader.AddJob(submission, now, now) })
 	t.requestStep()
 }
 
 // cancel applies a cancel that is stored.
 func (t *term) cancel(id job.ID) {
-	t.locked(func() { t.leader.Cancelled(id, time.Now()) })
+	t.locked(func() { t.leader.CancelJob(id, time.Now()) })
 	t.requestStep()
 }
 
@@ -189,7 +189,7 @@
 // applyCancelRow handles a cancel row of the feed.
 func (t *term) applyCancelRow(change table.Change) {
 	if !change.Removed {
-		t.cancel(job.ID(record.IDOf(change.Row.Key)))
+		t.cancel(job.ID(record.LastSegment(change.Row.Key)))
 	}
 }
 
@@ -217,7 +217,7 @@
 	started := time.Now()
 	confirmedAt := t.config.MajorityConfirmedAt()
 	t.locked(func() {
-		t.leader.Confirm(confirmedAt)
+		t.leader.ConfirmLeadership(confirmedAt)
 		t.queueOrders(t.leader.Step(started, started))
 	})
 	metrics.GetOrCreateHistogram("leader_step_seconds").UpdateDuration(started)
@@ -234,7 +234,7 @@
 	for _, stop := range orders.Stops {
 		t.queueOrder(byEndpoint[stop.Endpoint], order{stop: &stop})
 	}
-	for _, throttle := range orders.Paces {
+	for _, throttle := range orders.Throttles {
 		t.queueOrder(byEndpoint[throttle.Endpoint], order{throttle: &throttle})
 	}
 	for _, id := range orders.Lookups {
@@ -244,13 +244,13 @@
 			// The leader requests the lookup again.
 		}
 	}
-	for _, query := range orders.Asks {
+	for _, query := range orders.AdviceRequests {
 		t.queueAdviceQuery(query)
 	}
 	for _, move := range orders.Moves {
 		t.queueHostOrder(hostOrder{move: &move})
 	}
-	for _, maintenance := range orders.Upkeeps {
+	for _, maintenance := range orders.Maintenance {
 		t.queueHostOrder(hostOrder{maintenance: &maintenance})
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -184,7 +184,7 @@
 			continue
 		}
 		all = false
-		if !e.node.Ledger().Lists(team, e.node.Member()) {
+		if !e.node.Ledger().IsMember(team, e.node.Member()) {
 			e.node.PollNow()
 			continue
 		}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -162,7 +162,7 @@
 	}
 	c := &call{request: r, policy: current, queue: queue, started: started}
 	if !queue.Open {
-		account, known := current.AccountOf(i.config.Codec.Key(r.Header))
+		account, known := current.AccountByKey(i.config.Codec.Key(r.Header))
 		if !known {
 			return nil, i.refuse(http.StatusUnauthorized, "the key is not known", 0)
 		}
--- a/internal/ingress/writer.go
+++ b/internal/ingress/writer.go
@@ -96,7 +96,7 @@
 	}
 	entry := &write{ctx: ctx, id: submission.ID, value: value, done: make(chan outcome, 1)}
 	select {
-	case w.shards[record.Shard(submission.ID)] <- entry:
+	case w.shards[record.ShardOf(submission.ID)] <- entry:
 	default:
 		w.config.Journal.Info("job refused: write queue full", "request-id", submission.ID)
 		return outcomeRefused
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -77,7 +77,7 @@
 	// assignments are the hosts' rows as last read.
 	assignments atomic.Pointer[map[string]pool.Assignment]
 
-	author *revision.Author
+	author *revision.Committer
 	shards *shards
 	// pushes tracks what goes on after an operator was answered.
 	pushes sync.WaitGroup
--- a/internal/member/fleetclient.go
+++ b/internal/member/fleetclient.go
@@ -130,7 +130,7 @@
 	if own := f.node.config.MaxHostResources(); own.CPU > 0 {
 		maxHostResources = own
 	}
-	if maxHostResources.CPU > 0 && !step.Reserved().Fits(maxHostResources) {
+	if maxHostResources.CPU > 0 && !step.Reserved().FitsIn(maxHostResources) {
 		return "a task is larger than any endpoint"
 	}
 	return ""
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -36,7 +36,7 @@
 
 type noPolicy struct{}
 
-func (noPolicy) Newer(uint64) (uint64, []byte) { return 0, nil }
+func (noPolicy) NewerThan(uint64) (uint64, []byte) { return 0, nil }
 
 // blockableStore is a store that can be made unavailable for one process.
 type blockableStore struct {
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -25,7 +25,7 @@
 // PolicyHolder is this process's copy of the operators' configuration.
 type PolicyHolder interface {
 	// Newer returns the configuration if it is newer than have.
-	Newer(have uint64) (version uint64, value []byte)
+	NewerThan(have uint64) (version uint64, value []byte)
 }
 
 // ServiceConfig configures a Service.
@@ -95,7 +95,7 @@
 
 // Policy implements memberpb.Member.
 func (s *Service) Policy(_ context.Context, request *memberpb.PolicyRequest) (*memberpb.PolicyReply, error) {
-	version, value := s.config.Policy.Newer(request.Have)
+	version, value := s.config.Policy.NewerThan(request.Have)
 	return &memberpb.PolicyReply{Version: version, Value: value}, nil
 }
 
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -64,7 +64,7 @@
 // isIdle reports whether this process has nothing urgent to send. A peer with
 // something urgent starts an exchange itself.
 func (n *Node) isIdle() bool {
-	if time.Now().UnixNano() < n.urgentUntil.Load() || len(n.ledger.Resend()) > 0 || len(n.ledger.Reports()) > 0 {
+	if time.Now().UnixNano() < n.urgentUntil.Load() || len(n.ledger.Unconfirmed()) > 0 || len(n.ledger.Reports()) > 0 {
 		return false
 	}
 	for _, part := range n.parts {
@@ -107,7 +107,7 @@
 		return
 	}
 	n.recordAnswer(member.Identity)
-	n.configuration.Heard(started, peer.Statement(reply.GetFrom(), reply.GetConfiguration()))
+	n.configuration.HandleStatement(started, peer.Statement(reply.GetFrom(), reply.GetConfiguration()))
 	n.applyState(reply)
 }
 
@@ -127,7 +127,7 @@
 	for _, status := range n.ledger.Statuses() {
 		state.Permits = append(state.Permits, peer.PermitsMessage(status))
 	}
-	for _, transfer := range n.ledger.Resend() {
+	for _, transfer := range n.ledger.Unconfirmed() {
 		if transfer.To == limit.Member(to.String()) {
 			state.Transfers = append(state.Transfers, peer.TransferMessage(transfer))
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -88,7 +88,7 @@
 // Node is one member of the deployment.
 type Node struct {
 	config        Config
-	configuration *revision.Holder
+	configuration *revision.Replica
 	ledger        *limit.Ledger
 	parts         []Part
 
@@ -119,7 +119,7 @@
 	self := config.Self
 	n := &Node{
 		config: config,
-		configuration: revision.NewHolder(revision.HolderConfig{
+		configuration: revision.NewReplica(revision.ReplicaConfig{
 			Self:  revision.Member(self.Identity),
 			Bound: config.FreshBound,
 		}),
@@ -142,7 +142,7 @@
 func (n *Node) Member() limit.Member { return limit.Member(n.config.Self.Identity.String()) }
 
 // Configuration returns the holder of the configuration in force.
-func (n *Node) Configuration() *revision.Holder { return n.configuration }
+func (n *Node) Configuration() *revision.Replica { return n.configuration }
 
 // Ledger returns this process's permits.
 func (n *Node) Ledger() *limit.Ledger { return n.ledger }
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -45,7 +45,7 @@
 
 // requestTeamPermits requests permits for a team from the peers that have idle ones.
 func (n *Node) requestTeamPermits(ctx context.Context, team string) {
-	for _, ask := range n.ledger.Wanted(team, n.peerPermits(team)) {
+	for _, ask := range n.ledger.TransferRequests(team, n.peerPermits(team)) {
 		member, ok := n.FindMember(ask.To)
 		if !ok {
 			continue
@@ -56,7 +56,7 @@
 }
 
 // requestFromMember sends one request and applies the granted transfer.
-func (n *Node) requestFromMember(ctx context.Context, member roster.Member, ask limit.Ask) {
+func (n *Node) requestFromMember(ctx context.Context, member roster.Member, ask limit.TransferRequest) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	reply, err := n.Dial(member).Ask(ctx, peer.AskMessage(ask))
@@ -113,7 +113,7 @@
 			continue
 		}
 		for team := range n.configuration.View().State.Catalogue.Teams {
-			n.ledger.Leave(team, limit.Member(member.Identity.String()))
+			n.ledger.TransferIdle(team, limit.Member(member.Identity.String()))
 		}
 		// The exchange carries the transfers, which are repeated until confirmed.
 		n.exchange(ctx, member)
--- a/internal/process/feeds.go
+++ b/internal/process/feeds.go
@@ -161,7 +161,7 @@
 
 // applyOperatorRows applies changed operators' rows.
 func (n *frontNode) applyOperatorRows(rows platform.OperatorNews) {
-	n.holder.Offer(rows.Policy, policy.SourceStore)
+	n.holder.Update(rows.Policy, policy.SourceStore)
 	for _, wave := range rows.Waves {
 		n.control.SetWave(wave)
 	}
@@ -213,7 +213,7 @@
 		n.journal.Info("configuration not fetched from a peer", "peer", peer.Name, "have", have, "error", err.Error())
 		return false
 	}
-	n.holder.Offer(reply.Value, "peer")
+	n.holder.Update(reply.Value, "peer")
 	return n.holder.Version() > have
 }
 
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -112,7 +112,7 @@
 		n.journal.Info("row cannot be decoded", "key", key, "error", err.Error())
 	}
 	n.operator = platform.OperatorRows{Store: n.store, Unreadable: unreadable}
-	n.holder = policy.NewHolder(policy.HolderConfig{Decode: platform.DecodePolicy, Changed: n.policyChanged, Journal: n.journal})
+	n.holder = policy.NewHolder(policy.HolderConfig{Decode: platform.DecodePolicy, OnChange: n.policyChanged, Journal: n.journal})
 	n.member = member.New(member.Config{
 		Name: settings.Name, Address: settings.Peers, Processor: settings.Processor, Seeds: settings.Seeds, Store: n.store, Journal: n.journal,
 		Won:              func(ctx context.Context, won memberClaim, version uint64) { n.control.Lead(ctx, won, version) },
