--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -12,7 +12,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Endpoints gives orders to endpoints.
+// Endpoints sends orders and lease renewals to endpoints.
 type Endpoints interface {
 	Start(ctx context.Context, to fleet.EndpointAddress, token uint64, start fleet.Start) fleet.Reply
 	Stop(ctx context.Context, to fleet.EndpointAddress, token uint64, stop fleet.Stop) fleet.Reply
@@ -33,29 +33,29 @@
 	StartMaintenance(ctx context.Context, token uint64, host fleet.HostID, wave int64) fleet.ChangeOutcome
 }
 
-// Advice names the endpoints that may run a step.
+// Advice is the service that tells which endpoints may run a step.
 type Advice interface {
 	Ask(ctx context.Context, ask fleet.AdviceRequest) (fleet.AdviceGrant, error)
 }
 
-// Feed tells of changed rows.
+// Feed reads tables and follows their changes.
 type Feed interface {
 	ScanAt(ctx context.Context, prefix string) ([]table.Row, uint64, error)
 	Follow(ctx context.Context, tableName string, after uint64, wait time.Duration) ([]table.Change, uint64, error)
 }
 
-// WaveStatus names and encodes the row in which operators read a wave's state.
+// WaveStatus encodes the row in which operators read a maintenance wave's state.
 type WaveStatus interface {
 	Key(wave int64) string
 	Encode(wave int64, complete bool) []byte
 }
 
-// Journal takes decisions.
+// Journal logs events.
 type Journal interface {
 	Info(event string, fields ...any)
 }
 
-// Config is what a Control is built from.
+// Config configures a Control.
 type Config struct {
 	Store        table.Store
 	Feed         Feed
@@ -67,89 +67,90 @@
 	WaveStatus WaveStatus
 	Bounds     fleet.Bounds
 	Journal    Journal
-	// Lost is called when a leadership turns out to be over.
-	Lost func(token uint64, why string)
-	// Followed returns when most of the other processes last said that we lead.
+	// Lost is called when the leadership with this token is found to be over.
+	Lost func(token uint64, reason string)
+	// MajorityConfirmedAt returns when a majority of the processes last
+	// confirmed this process as leader.
 	MajorityConfirmedAt func() time.Time
-	// StoreAnswered is told how each call of the feeds ended.
+	// ObserveStore is called with the result of each call of the feeds.
 	ObserveStore func(err error)
 }
 
-// Control is the fleet's part of a process, which may or may not lead.
+// Control runs the fleet's leader in a process while that process leads.
 type Control struct {
 	config Config
 
 	mu     sync.Mutex
 	policy *policy.Policy
 	waves  map[int64]fleet.WaveRow
-	reign  *reign
-	reigns chan *reign
+	term   *term
+	terms  chan *term
 }
 
-// New returns a part that does not lead.
+// New returns a Control that does not lead yet.
 func New(config Config) *Control {
-	return &Control{config: config, waves: map[int64]fleet.WaveRow{}, reigns: make(chan *reign, 1)}
+	return &Control{config: config, waves: map[int64]fleet.WaveRow{}, terms: make(chan *term, 1)}
 }
 
-// Lead starts a leadership that ends with ctx.
+// Lead starts a leadership term that ends with ctx.
 func (c *Control) Lead(ctx context.Context, claim record.Claim, version uint64) {
-	r := newReign(ctx, c, claim, version)
+	t := newTerm(ctx, c, claim, version)
 	select {
-	case c.reigns <- r:
+	case c.terms <- t:
 	default:
-		// Two leaderships at once: the older one has ended, and Run is about to see it.
-		c.config.Lost(claim.Token, "the process is still ending an earlier leadership")
+		// The previous term has ended, but Run has not finished it yet.
+		c.config.Lost(claim.Token, "the process is still ending its previous term")
 	}
 }
 
-// Run carries out leaderships one after the other until ctx ends.
+// Run executes leadership terms one after the other until ctx ends.
 func (c *Control) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-c.reigns:
+		case t := <-c.terms:
 			c.mu.Lock()
-			c.reign = r
+			c.term = t
 			c.mu.Unlock()
-			r.run()
+			t.run()
 			c.mu.Lock()
-			c.reign = nil
+			c.term = nil
 			c.mu.Unlock()
 		}
 	}
 }
 
-// SetPolicy puts a configuration in force.
+// SetPolicy applies a new configuration.
 func (c *Control) SetPolicy(current *policy.Policy) {
 	c.mu.Lock()
 	c.policy = current
-	r := c.reign
+	t := c.term
 	c.mu.Unlock()
-	if r != nil {
-		r.setPolicy(current)
+	if t != nil {
+		t.setPolicy(current)
 	}
 }
 
-// SetWave takes a wave of upkeep.
+// SetWave adds or updates a maintenance wave.
 func (c *Control) SetWave(wave fleet.WaveRow) {
 	c.mu.Lock()
 	c.waves[wave.Number] = wave
-	r := c.reign
+	t := c.term
 	c.mu.Unlock()
-	if r != nil {
-		r.setWave(wave)
+	if t != nil {
+		t.setWave(wave)
 	}
 }
 
-// current returns the leadership if it knows all jobs.
-func (c *Control) current() *reign {
+// current returns the running term once it has loaded all jobs, else nil.
+func (c *Control) current() *term {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reign == nil || !c.reign.isLoaded() {
+	if c.term == nil || !c.term.isLoaded() {
 		return nil
 	}
-	return c.reign
+	return c.term
 }
 
 // Leading implements member.Fleet.
@@ -159,72 +160,73 @@
 
 // Accept implements member.Fleet.
 func (c *Control) Accept(submissions [][]byte) bool {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return false
 	}
 	for _, value := range submissions {
 		submission, err := job.DecodeSubmission(value)
 		if err != nil {
-			c.config.Journal.Info("job not readable", "error", err.Error())
+			c.config.Journal.Info("submitted job cannot be decoded", "error", err.Error())
 			continue
 		}
-		r.accept(submission)
+		t.accept(submission)
 	}
 	return true
 }
 
 // Cancel implements member.Fleet.
 func (c *Control) Cancel(id job.ID) bool {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return false
 	}
-	r.cancelled(id)
+	t.cancel(id)
 	return true
 }
 
 // State implements member.Fleet.
 func (c *Control) State(id job.ID) (job.State, bool) {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return "", false
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leader.StateOf(id)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leader.StateOf(id)
 }
 
-// Largest returns the most that one host has of each resource, or zeros
-// while this process does not lead.
+// MaxHostResources returns, per resource, the largest amount that a single host
+// has, or zeros while this process does not lead.
 func (c *Control) MaxHostResources() policy.Resources {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return policy.Resources{}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leader.Largest()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leader.Largest()
 }
 
 // Waiting implements member.Fleet.
 func (c *Control) Waiting() map[string]int {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leader.Waiting()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leader.Waiting()
 }
 
-// Dump returns the leader's state for operators, or nil if this process does not lead.
+// Dump returns the leader's state for the operators' state dump, or nil if this
+// process does not lead.
 func (c *Control) Dump() any {
-	r := c.current()
-	if r == nil {
+	t := c.current()
+	if t == nil {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leader.Dump()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leader.Dump()
 }
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -10,214 +10,216 @@
 )
 
 const (
-	// orderSenders is how many orders are under way to one endpoint at a time.
-	orderSenders = 3
-	// pendingOrders is how many orders wait for one endpoint.
-	pendingOrders = 256
-	// lookPause is the time before an endpoint is asked again that did not answer.
-	lookPause = 150 * time.Millisecond
-	// idlePause is the longest time between two checks whether a look is due.
-	idlePause = 500 * time.Millisecond
-	// endsPause gathers ends: an endpoint with many short tasks would answer each one alone.
-	endsPause = 15 * time.Millisecond
+	// sendersPerEndpoint is the number of concurrent orders to one endpoint.
+	sendersPerEndpoint = 3
+	// orderQueueSize is the number of orders that may wait for one endpoint.
+	orderQueueSize = 256
+	// renewRetryDelay is the time between a failed lease renewal and the next.
+	renewRetryDelay = 150 * time.Millisecond
+	// maxRenewWait is the longest time between two checks whether a renewal is due.
+	maxRenewWait = 500 * time.Millisecond
+	// completionBatchDelay delays the next renewal after a report of completed
+	// runs: an endpoint with many short tasks would else report each one alone.
+	completionBatchDelay = 15 * time.Millisecond
 )
 
-// order is one order to an endpoint; one field is set.
+// order is an order to an endpoint; exactly one field is set.
 type order struct {
-	start *fleet.Start
-	stop  *fleet.Stop
-	pace  *fleet.Throttle
+	start    *fleet.Start
+	stop     *fleet.Stop
+	throttle *fleet.Throttle
 }
 
-// endpointWorker speaks with one endpoint.
-type endpointWorker struct {
-	reign  *reign
+// endpointSession sends orders and lease renewals to one endpoint during a term.
+type endpointSession struct {
+	term   *term
 	id     fleet.EndpointID
 	orders chan order
 	wake   chan struct{}
-	// ctx ends when the endpoint is forgotten.
+	// ctx ends when the leader drops the endpoint.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// syncWorkers starts workers for new endpoints and ends those of forgotten ones;
-// r.mu is held.
-func (r *reign) syncWorkers() {
+// syncSessions starts sessions for new endpoints and ends those of endpoints
+// that the leader has dropped; t.mu must be held.
+func (t *term) syncSessions() {
 	known := map[fleet.EndpointID]bool{}
-	for _, id := range r.leader.EndpointIDs() {
+	for _, id := range t.leader.EndpointIDs() {
 		known[id] = true
-		if r.endpoints[id] == nil {
-			r.startWorker(id)
+		if t.sessions[id] == nil {
+			t.startSession(id)
 		}
 	}
-	for id, worker := range r.endpoints {
+	for id, session := range t.sessions {
 		if !known[id] {
-			worker.cancel()
-			delete(r.endpoints, id)
+			session.cancel()
+			delete(t.sessions, id)
 		}
 	}
 }
 
-// startWorker starts the loops for one endpoint.
-func (r *reign) startWorker(id fleet.EndpointID) {
-	ctx, cancel := context.WithCancel(r.ctx)
-	worker := &endpointWorker{reign: r, id: id, ctx: ctx, orders: make(chan order, pendingOrders), wake: make(chan struct{}, 1), cancel: cancel}
-	r.endpoints[id] = worker
-	r.group.Go(func(groupCtx context.Context) { worker.run(groupCtx, worker.lookLoop) })
-	for range orderSenders {
-		r.group.Go(func(groupCtx context.Context) { worker.run(groupCtx, worker.orderLoop) })
+// startSession starts the loops for one endpoint.
+func (t *term) startSession(id fleet.EndpointID) {
+	ctx, cancel := context.WithCancel(t.ctx)
+	session := &endpointSession{term: t, id: id, ctx: ctx, orders: make(chan order, orderQueueSize), wake: make(chan struct{}, 1), cancel: cancel}
+	t.sessions[id] = session
+	t.group.Go(func(groupCtx context.Context) { session.run(groupCtx, session.renewLoop) })
+	for range sendersPerEndpoint {
+		t.group.Go(func(groupCtx context.Context) { session.run(groupCtx, session.orderLoop) })
 	}
 }
 
-// run runs a loop until the endpoint is forgotten, the leadership ends, or another
-// loop of the group has found a broken invariant.
-func (w *endpointWorker) run(groupCtx context.Context, loop func(ctx context.Context)) {
+// run runs a loop until the leader drops the endpoint, the term ends, or another
+// loop of the group panics.
+func (s *endpointSession) run(groupCtx context.Context, loop func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(groupCtx)
 	defer cancel()
-	stop := context.AfterFunc(w.ctx, cancel)
+	stop := context.AfterFunc(s.ctx, cancel)
 	defer stop()
 	loop(ctx)
 }
 
-// send queues an order; r.mu is held. An order without a place in the queue
-// was not sent.
-func (r *reign) send(worker *endpointWorker, next order) {
-	if worker != nil {
+// queueOrder queues an order; t.mu must be held. A start that finds the queue
+// full is reported to the leader as unsent.
+func (t *term) queueOrder(session *endpointSession, next order) {
+	if session != nil {
 		select {
-		case worker.orders <- next:
-			signal(worker.wake)
+		case session.orders <- next:
+			signal(session.wake)
 			return
 		default:
 		}
 	}
 	if next.start != nil {
-		r.leader.HandleStartReply(*next.start, fleet.Reply{Outcome: fleet.OrderNotSent}, time.Now())
+		t.leader.HandleStartReply(*next.start, fleet.Reply{Outcome: fleet.OrderNotSent}, time.Now())
 	}
 }
 
-// wakeEndpoints lets the workers look whether ends can be acknowledged.
-func (r *reign) wakeEndpoints() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, worker := range r.endpoints {
-		signal(worker.wake)
+// wakeEndpoints lets the sessions check whether completions can be acknowledged.
+func (t *term) wakeEndpoints() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, session := range t.sessions {
+		signal(session.wake)
 	}
 }
 
-// address returns where the endpoint is.
-func (w *endpointWorker) address() (fleet.EndpointAddress, bool) {
-	w.reign.mu.Lock()
-	defer w.reign.mu.Unlock()
-	return w.reign.leader.AddressOf(w.id)
+// address returns the endpoint's address, if the leader knows it.
+func (s *endpointSession) address() (fleet.EndpointAddress, bool) {
+	s.term.mu.Lock()
+	defer s.term.mu.Unlock()
+	return s.term.leader.AddressOf(s.id)
 }
 
 // orderLoop sends orders one after the other.
-func (w *endpointWorker) orderLoop(ctx context.Context) {
+func (s *endpointSession) orderLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case next := <-w.orders:
-			w.carryOut(ctx, next)
+		case next := <-s.orders:
+			s.execute(ctx, next)
 		}
 	}
 }
 
-// carryOut sends an order and reports its outcome.
-func (w *endpointWorker) carryOut(ctx context.Context, next order) {
-	r := w.reign
-	to, ok := w.address()
+// execute sends an order and reports its outcome to the leader.
+func (s *endpointSession) execute(ctx context.Context, next order) {
+	t := s.term
+	to, ok := s.address()
 	reply := fleet.Reply{Outcome: fleet.OrderNotSent}
 	kind := "pace"
-	isOurs := true
+	isLeader := true
 	switch {
 	case next.start != nil:
 		kind = "start"
 		if ok {
-			reply = r.config.Endpoints.Start(ctx, to, r.claim.Token, *next.start)
+			reply = t.config.Endpoints.Start(ctx, to, t.claim.Token, *next.start)
 		}
-		r.locked(func() {
-			isOurs = r.leader.HandleStartReply(*next.start, reply, time.Now())
+		t.locked(func() {
+			isLeader = t.leader.HandleStartReply(*next.start, reply, time.Now())
 		})
 	case next.stop != nil:
 		kind = "stop"
 		if ok {
-			reply = r.config.Endpoints.Stop(ctx, to, r.claim.Token, *next.stop)
+			reply = t.config.Endpoints.Stop(ctx, to, t.claim.Token, *next.stop)
 		}
-		r.locked(func() {
-			isOurs = r.leader.HandleStopReply(*next.stop, reply, time.Now())
+		t.locked(func() {
+			isLeader = t.leader.HandleStopReply(*next.stop, reply, time.Now())
 		})
 	default:
 		if ok {
-			reply = r.config.Endpoints.Throttle(ctx, to, r.claim.Token, *next.pace)
+			reply = t.config.Endpoints.Throttle(ctx, to, t.claim.Token, *next.throttle)
 		}
 	}
 	metrics.GetOrCreateCounter(`orders_total{kind="` + kind + `",outcome="` + string(reply.Outcome) + `"}`).Inc()
-	if !isOurs {
-		r.config.Lost(r.claim.Token, "an endpoint knows a later leader")
+	if !isLeader {
+		t.config.Lost(t.claim.Token, "an endpoint knows a newer leader")
 	}
 	if reply.Outcome != fleet.OrderAccepted {
-		signal(w.wake)
-		r.kick()
+		signal(s.wake)
+		t.requestStep()
 	}
 }
 
-// lookLoop looks at the endpoint whenever the leader wants it.
-func (w *endpointWorker) lookLoop(ctx context.Context) {
+// renewLoop renews the endpoint's lease whenever the leader says it is due.
+func (s *endpointSession) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		var hold fleet.LeaseRenewal
-		due := false
-		w.reign.locked(func() {
-			hold, due = w.reign.leader.NextRenewal(w.id, time.Now())
+		var renewal fleet.LeaseRenewal
+		isDue := false
+		s.term.locked(func() {
+			renewal, isDue = s.term.leader.NextRenewal(s.id, time.Now())
 		})
-		if !due {
-			w.rest(ctx, idlePause)
+		if !isDue {
+			s.waitForWake(ctx, maxRenewWait)
 			continue
 		}
-		if !w.look(ctx, hold) {
-			sleep(ctx, lookPause)
+		if !s.renewLease(ctx, renewal) {
+			sleep(ctx, renewRetryDelay)
 		}
 	}
 }
 
-// rest waits until something has changed, or for a while.
-func (w *endpointWorker) rest(ctx context.Context, d time.Duration) {
+// waitForWake waits for a wake-up, for at most d.
+func (s *endpointSession) waitForWake(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-w.wake:
+	case <-s.wake:
 	case <-timer.C:
 	}
 }
 
-// look makes one look. It reports whether the endpoint answered.
-func (w *endpointWorker) look(ctx context.Context, hold fleet.LeaseRenewal) bool {
-	r := w.reign
-	to, ok := w.address()
+// renewLease sends one lease renewal and passes the endpoint's report to the
+// leader. It reports whether the endpoint accepted the renewal.
+func (s *endpointSession) renewLease(ctx context.Context, renewal fleet.LeaseRenewal) bool {
+	t := s.term
+	to, ok := s.address()
 	if !ok {
 		return false
 	}
 	sentAt := time.Now()
-	look, reply := r.config.Endpoints.RenewLease(ctx, to, r.claim.Token, hold)
+	report, reply := t.config.Endpoints.RenewLease(ctx, to, t.claim.Token, renewal)
 	if ctx.Err() != nil {
 		return false
 	}
 	now := time.Now()
 	metrics.GetOrCreateCounter(`orders_total{kind="look",outcome="` + string(reply.Outcome) + `"}`).Inc()
-	r.locked(func() {
+	t.locked(func() {
 		if reply.Outcome == fleet.OrderAccepted {
-			r.leader.HandleReport(w.id, hold, sentAt, look, now)
+			t.leader.HandleReport(s.id, renewal, sentAt, report, now)
 		} else {
-			r.leader.RenewalFailed(w.id, reply, now)
+			t.leader.RenewalFailed(s.id, reply, now)
 		}
 	})
-	r.kick()
+	t.requestStep()
 	if reply.Outcome == fleet.OrderFenced {
-		r.config.Lost(r.claim.Token, "an endpoint knows a later leader")
+		t.config.Lost(t.claim.Token, "an endpoint knows a newer leader")
 	}
-	if len(look.Completions) > 0 {
-		sleep(ctx, endsPause)
+	if len(report.Completions) > 0 {
+		sleep(ctx, completionBatchDelay)
 	}
 	return reply.Outcome == fleet.OrderAccepted
 }
--- a/internal/control/feeds.go
+++ b/internal/control/feeds.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// endpointFeedPause is the time between two answers of the endpoints' feed: each endpoint
-	// writes every second or two, and each answer is charged.
-	endpointFeedPause = 400 * time.Millisecond
-	// endpointFeedQuick is the same while a host is about to be back.
-	endpointFeedQuick = 60 * time.Millisecond
-	// rowFeedPause is the same for jobs, which their ingress tells us of directly.
-	rowFeedPause = 700 * time.Millisecond
-	// feedWait is how long the store may wait for a change.
-	feedWait = 2 * time.Second
-	// feedRetry is the time before a feed that failed is asked again.
-	feedRetry = 200 * time.Millisecond
+	// endpointFeedInterval is the pause between two calls of the endpoint feed:
+	// each endpoint writes every second or two, and each answer is charged.
+	endpointFeedInterval = 400 * time.Millisecond
+	// busyEndpointFeedInterval replaces it while hosts are being changed.
+	busyEndpointFeedInterval = 60 * time.Millisecond
+	// rowFeedInterval is the pause between two calls of the job and cancel feeds;
+	// the ingress usually notifies the leader directly.
+	rowFeedInterval = 700 * time.Millisecond
+	// feedTimeout is the long-poll timeout: how long the store may wait for a change.
+	feedTimeout = 2 * time.Second
+	// feedRetryDelay is the pause after a failed call of a feed.
+	feedRetryDelay = 200 * time.Millisecond
 )
 
 func parseNumber(text string) (int64, bool) {
@@ -32,26 +33,26 @@
 }
 
 // endpointFeed follows the platform's list of endpoints.
-func (r *reign) endpointFeed(ctx context.Context) {
+func (t *term) endpointFeed(ctx context.Context) {
 	version, known := uint64(0), false
 	for ctx.Err() == nil {
 		var err error
 		if known {
-			version, err = r.followEndpoints(ctx, version)
+			version, err = t.followEndpoints(ctx, version)
 		} else {
-			version, err = r.listEndpoints(ctx)
+			version, err = t.listEndpoints(ctx)
 		}
-		r.config.ObserveStore(err)
+		t.config.ObserveStore(err)
 		known = err == nil || known && !errors.Is(err, table.ErrHistoryLost)
-		pause := endpointFeedPause
-		r.locked(func() {
-			if r.leader.HostChangeDue(time.Now()) {
-				pause = endpointFeedQuick
+		pause := endpointFeedInterval
+		t.locked(func() {
+			if t.leader.HostChangeDue(time.Now()) {
+				pause = busyEndpointFeedInterval
 			}
 		})
 		if err != nil {
-			r.config.Journal.Info("endpoint list not read", "version", version, "error", err.Error())
-			pause = feedRetry
+			t.config.Journal.Info("endpoint list not read", "version", version, "error", err.Error())
+			pause = feedRetryDelay
 		}
 		if !sleep(ctx, pause) {
 			return
@@ -59,67 +60,67 @@
 	}
 }
 
-// listEndpoints reads the whole list.
-func (r *reign) listEndpoints(ctx context.Context) (uint64, error) {
-	endpoints, version, err := r.config.EndpointList.All(ctx)
+// listEndpoints reads the whole list and returns its version.
+func (t *term) listEndpoints(ctx context.Context) (uint64, error) {
+	endpoints, version, err := t.config.EndpointList.All(ctx)
 	if err != nil {
 		return 0, err
 	}
 	now := time.Now()
-	r.locked(func() {
+	t.locked(func() {
 		listed := map[fleet.EndpointID]bool{}
 		for _, endpoint := range endpoints {
 			listed[endpoint.ID] = true
-			r.leader.UpdateEndpoint(endpoint, now)
+			t.leader.UpdateEndpoint(endpoint, now)
 		}
-		for _, id := range r.leader.EndpointIDs() {
+		for _, id := range t.leader.EndpointIDs() {
 			if !listed[id] {
-				r.leader.RemoveEndpoint(id, now)
+				t.leader.RemoveEndpoint(id, now)
 			}
 		}
 	})
-	r.kick()
+	t.requestStep()
 	return version, nil
 }
 
-// followEndpoints reads what has changed.
-func (r *reign) followEndpoints(ctx context.Context, after uint64) (uint64, error) {
-	listed, gone, next, err := r.config.EndpointList.Changes(ctx, after, feedWait)
+// followEndpoints reads the changes since a version and returns the next version.
+func (t *term) followEndpoints(ctx context.Context, after uint64) (uint64, error) {
+	listed, gone, next, err := t.config.EndpointList.Changes(ctx, after, feedTimeout)
 	if err != nil {
 		return after, err
 	}
 	now := time.Now()
-	r.locked(func() {
+	t.locked(func() {
 		for _, endpoint := range listed {
-			r.leader.UpdateEndpoint(endpoint, now)
+			t.leader.UpdateEndpoint(endpoint, now)
 		}
 		for _, id := range gone {
-			r.leader.RemoveEndpoint(id, now)
+			t.leader.RemoveEndpoint(id, now)
 		}
 	})
-	r.kick()
+	t.requestStep()
 	return next, nil
 }
 
-// rowFeed follows one of our tables; each change goes to take.
-func (r *reign) rowFeed(ctx context.Context, tableName string, take func(table.Change)) {
+// rowFeed follows one of the fleet's tables and calls apply for each change.
+func (t *term) rowFeed(ctx context.Context, tableName string, apply func(table.Change)) {
 	version, known := uint64(0), false
 	for ctx.Err() == nil {
 		var changes []table.Change
 		var err error
 		if known {
-			changes, version, err = r.config.Feed.Follow(ctx, tableName, version, feedWait)
+			changes, version, err = t.config.Feed.Follow(ctx, tableName, version, feedTimeout)
 		} else {
-			changes, version, err = r.scanAll(ctx, tableName)
+			changes, version, err = t.scanAll(ctx, tableName)
 		}
-		r.config.ObserveStore(err)
+		t.config.ObserveStore(err)
 		for _, change := range changes {
-			take(change)
+			apply(change)
 		}
 		known = err == nil || known && !errors.Is(err, table.ErrHistoryLost)
-		pause := rowFeedPause
+		pause := rowFeedInterval
 		if err != nil {
-			pause = feedRetry
+			pause = feedRetryDelay
 		}
 		if !sleep(ctx, pause) {
 			return
@@ -127,9 +128,9 @@
 	}
 }
 
-// scanAll reads all parts of a table, and the version to follow from: the
-// oldest of the parts', so that nothing is missed in between.
-func (r *reign) scanAll(ctx context.Context, tableName string) ([]table.Change, uint64, error) {
+// scanAll reads all shards of a table. It returns the version to follow from:
+// that of the first shard read, so that no change is missed in between.
+func (t *term) scanAll(ctx context.Context, tableName string) ([]table.Change, uint64, error) {
 	var changes []table.Change
 	first := uint64(0)
 	for shard := range record.JobShards {
@@ -137,7 +138,7 @@
 		if tableName == record.CancelTable {
 			prefix = record.CancelPrefix(shard)
 		}
-		rows, version, err := r.config.Feed.ScanAt(ctx, prefix)
+		rows, version, err := t.config.Feed.ScanAt(ctx, prefix)
 		if err != nil {
 			return nil, 0, err
 		}
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -13,84 +13,87 @@
 )
 
 const (
-	// hostOrders is how many changes of hosts wait; the platform takes some 60 a second.
-	hostOrders = 128
-	// changesAtOnce is how many changes are announced in one transaction, and
-	// hostCallers how many are under way at a time.
-	changesAtOnce = 40
-	hostCallers   = 6
-	// pendingAsks is how many questions wait for the advice service.
-	pendingAsks = 64
-	// adviceCallers is how many questions are under way: the service answers one
-	// at a time for each host, and refuses beyond 32 waiting ones.
-	adviceCallers = 4
-	// hostsSlow and hostsQuick are the times between two readings of the
-	// hosts, without and with changes under way.
-	hostsSlow  = 4 * time.Second
-	hostsQuick = 300 * time.Millisecond
+	// hostOrderQueueSize is the number of host changes that may wait; the
+	// platform accepts about 60 per second.
+	hostOrderQueueSize = 128
+	// maxChangesPerTxn is the number of changes recorded in one transaction, and
+	// maxHostCalls the number of concurrent calls to the host interface.
+	maxChangesPerTxn = 40
+	maxHostCalls     = 6
+	// adviceQueueSize is the number of queries that may wait for the advice service.
+	adviceQueueSize = 64
+	// adviceWorkers is the number of concurrent queries: the service answers one
+	// at a time for each host, and refuses queries when 32 are waiting.
+	adviceWorkers = 4
+	// hostListInterval and busyHostListInterval are the times between two
+	// listings of the hosts, without and with changes in progress.
+	hostListInterval     = 4 * time.Second
+	busyHostListInterval = 300 * time.Millisecond
 )
 
-// hostOrder is a change of a host; one field is set.
+// hostOrder is a change of a host; exactly one field is set.
 type hostOrder struct {
-	move   *fleet.Move
-	upkeep *fleet.MaintenanceOrder
+	move        *fleet.Move
+	maintenance *fleet.MaintenanceOrder
 }
 
-// host is the host that is changed.
+// host returns the host that is changed.
 func (o hostOrder) host() fleet.HostID {
 	if o.move != nil {
 		return o.move.Host
 	}
-	return o.upkeep.Host
+	return o.maintenance.Host
 }
 
-// sendHost queues a change; r.mu is held.
-func (r *reign) sendHost(next hostOrder) {
+// queueHostOrder queues a change, and reports it as refused if the queue is
+// full; t.mu must be held.
+func (t *term) queueHostOrder(next hostOrder) {
 	select {
-	case r.orders <- next:
+	case t.hostOrders <- next:
 	default:
-		r.hostAnswered(next, fleet.ChangeRefused)
+		t.reportHostChange(next, fleet.ChangeRefused)
 	}
 }
 
-// sendAsk queues a question; r.mu is held.
-func (r *reign) sendAsk(ask fleet.AdviceRequest) {
+// queueAdviceQuery queues a query, and reports it as failed if the queue is
+// full; t.mu must be held.
+func (t *term) queueAdviceQuery(query fleet.AdviceRequest) {
 	select {
-	case r.asks <- ask:
+	case t.adviceQueries <- query:
 	default:
-		r.leader.HandleAdvice(ask, fleet.AdviceGrant{}, false, time.Now())
+		t.leader.HandleAdvice(query, fleet.AdviceGrant{}, false, time.Now())
 	}
 }
 
-// hostAnswered reports an outcome; r.mu is held.
-func (r *reign) hostAnswered(done hostOrder, outcome fleet.ChangeOutcome) {
+// reportHostChange reports a change's outcome to the leader; t.mu must be held.
+func (t *term) reportHostChange(done hostOrder, outcome fleet.ChangeOutcome) {
 	now := time.Now()
 	if done.move != nil {
-		r.leader.HandleMoveReply(*done.move, outcome, now)
+		t.leader.HandleMoveReply(*done.move, outcome, now)
 		return
 	}
-	r.leader.HandleMaintenanceReply(*done.upkeep, outcome, now)
+	t.leader.HandleMaintenanceReply(*done.maintenance, outcome, now)
 }
 
-// hostLoop sends changes, after it has written which hosts they are for:
-// a leader that comes after this one has to know.
-func (r *reign) hostLoop(ctx context.Context) {
+// hostLoop executes host changes, after it has recorded the hosts in the store:
+// the next leader has to know which changes may be in progress.
+func (t *term) hostLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-r.orders:
-			r.changeHosts(ctx, r.gatherChanges(first))
+		case first := <-t.hostOrders:
+			t.executeHostOrders(ctx, t.collectHostOrders(first))
 		}
 	}
 }
 
-// gatherChanges takes what waits, up to one transaction's size.
-func (r *reign) gatherChanges(first hostOrder) []hostOrder {
+// collectHostOrders collects the waiting changes, up to one transaction's size.
+func (t *term) collectHostOrders(first hostOrder) []hostOrder {
 	changes := []hostOrder{first}
-	for len(changes) < changesAtOnce {
+	for len(changes) < maxChangesPerTxn {
 		select {
-		case next := <-r.orders:
+		case next := <-t.hostOrders:
 			changes = append(changes, next)
 		default:
 			return changes
@@ -99,71 +102,71 @@
 	return changes
 }
 
-// changeHosts writes the intents and carries out the changes.
-func (r *reign) changeHosts(ctx context.Context, changes []hostOrder) {
+// executeHostOrders records the changes in the store and then executes them.
+func (t *term) executeHostOrders(ctx context.Context, changes []hostOrder) {
 	var txn table.Txn
 	for _, next := range changes {
 		row := record.HostChange{At: time.Now().Round(0)}
 		txn.Writes = append(txn.Writes, table.Write{Key: record.HostChangeKey(string(next.host())), Value: record.Encode(row)})
 	}
-	if !r.writer.commit(ctx, txn, false) {
-		r.locked(func() {
+	if !t.writer.commit(ctx, txn, false) {
+		t.locked(func() {
 			for _, next := range changes {
-				r.hostAnswered(next, fleet.ChangeRefused)
+				t.reportHostChange(next, fleet.ChangeRefused)
 			}
 		})
 		return
 	}
-	callers := pool.New().WithMaxGoroutines(hostCallers)
+	callers := pool.New().WithMaxGoroutines(maxHostCalls)
 	for _, next := range changes {
-		callers.Go(func() { r.changeHost(ctx, next) })
+		callers.Go(func() { t.executeHostOrder(ctx, next) })
 	}
 	callers.Wait()
 }
 
-func (r *reign) changeHost(ctx context.Context, next hostOrder) {
+func (t *term) executeHostOrder(ctx context.Context, next hostOrder) {
 	kind := "upkeep"
 	var outcome fleet.ChangeOutcome
 	if next.move != nil {
 		kind = "move"
-		outcome = r.config.Hosts.Move(ctx, r.claim.Token, next.move.Host, next.move.Pool)
+		outcome = t.config.Hosts.Move(ctx, t.claim.Token, next.move.Host, next.move.Pool)
 	} else {
-		outcome = r.config.Hosts.StartMaintenance(ctx, r.claim.Token, next.upkeep.Host, next.upkeep.Wave)
+		outcome = t.config.Hosts.StartMaintenance(ctx, t.claim.Token, next.maintenance.Host, next.maintenance.Wave)
 	}
 	metrics.GetOrCreateCounter(`host_changes_total{kind="` + kind + `",outcome="` + string(outcome) + `"}`).Inc()
-	r.locked(func() {
-		r.hostAnswered(next, outcome)
+	t.locked(func() {
+		t.reportHostChange(next, outcome)
 	})
 	if outcome == fleet.ChangeFenced {
-		r.config.Lost(r.claim.Token, "the host interface knows a later leader")
+		t.config.Lost(t.claim.Token, "the host interface knows a newer leader")
 	}
-	r.kick()
+	t.requestStep()
 }
 
-// hostFeed reads the hosts, more often while changes are under way.
-func (r *reign) hostFeed(ctx context.Context) {
+// hostFeed lists the hosts periodically, more often while changes are in progress.
+func (t *term) hostFeed(ctx context.Context) {
 	for ctx.Err() == nil {
 		sentAt := time.Now()
-		list, err := r.config.Hosts.List(ctx)
+		list, err := t.config.Hosts.List(ctx)
 		now := time.Now()
 		isBusy := false
-		r.locked(func() {
+		t.locked(func() {
 			if err == nil {
-				r.leader.UpdateHosts(list, sentAt, now)
+				t.leader.UpdateHosts(list, sentAt, now)
 			}
-			isBusy = r.leader.NeedsHostList(now) || err != nil
+			isBusy = t.leader.NeedsHostList(now) || err != nil
 		})
 		if err != nil {
-			r.config.Journal.Info("hosts not read", "error", err.Error())
+			t.config.Journal.Info("hosts not read", "error", err.Error())
 		} else {
-			r.kick()
+			t.requestStep()
 		}
-		for waited := time.Duration(0); waited < hostsSlow; waited += hostsQuick {
-			if !sleep(ctx, hostsQuick) {
+		for waited := time.Duration(0); waited < hostListInterval; waited += busyHostListInterval {
+			if !sleep(ctx, busyHostListInterval) {
 				return
 			}
-			r.locked(func() {
-				isBusy = isBusy || r.leader.NeedsHostList(time.Now())
+			t.locked(func() {
+				isBusy = isBusy || t.leader.NeedsHostList(time.Now())
 			})
 			if isBusy {
 				break
@@ -172,24 +175,25 @@
 	}
 }
 
-// adviceLoop asks the advice service.
-func (r *reign) adviceLoop(ctx context.Context) {
+// adviceLoop sends the queued queries to the advice service.
+func (t *term) adviceLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case ask := <-r.asks:
-			asking, cancel := context.WithTimeout(ctx, adviceTimeout)
-			granted, err := r.config.Advice.Ask(asking, ask)
+		case query := <-t.adviceQueries:
+			queryCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
+			granted, err := t.config.Advice.Ask(queryCtx, query)
 			cancel()
-			r.locked(func() {
-				r.leader.HandleAdvice(ask, granted, err == nil, time.Now())
+			t.locked(func() {
+				t.leader.HandleAdvice(query, granted, err == nil, time.Now())
 			})
-			r.kick()
+			t.requestStep()
 		}
 	}
 }
 
-// adviceTimeout bounds a question; it takes what the queue's advice says for
-// each endpoint, after the questions before it.
+// adviceTimeout bounds a query, including the time it waits in the service
+// behind earlier ones. The service needs the queue's configured advice time for
+// each endpoint.
 const adviceTimeout = 10 * time.Second
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -14,86 +14,86 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// load reads all rows of before, until it works or the leadership ends.
-func (r *reign) load() bool {
-	for r.ctx.Err() == nil {
+// load reads the former leaders' rows, retrying until it succeeds or the term ends.
+func (t *term) load() bool {
+	for t.ctx.Err() == nil {
 		started := time.Now()
-		rows, err := r.readRows()
+		rows, err := t.readRows()
 		if err == nil {
-			r.begin(rows)
+			t.initLeader(rows)
 			metrics.GetOrCreateHistogram("leader_load_seconds").UpdateDuration(started)
 			return true
 		}
-		r.config.Journal.Info("rows not loaded", "error", err.Error())
-		if !sleep(r.ctx, loadRetry) {
+		t.config.Journal.Info("leader state not loaded from the store", "error", err.Error())
+		if !sleep(t.ctx, loadRetryDelay) {
 			return false
 		}
 	}
 	return false
 }
 
-// begin starts the leader's state from the rows.
-func (r *reign) begin(rows loadedRows) {
-	r.control.mu.Lock()
-	current, waves := r.control.policy, maps.Clone(r.control.waves)
-	r.control.mu.Unlock()
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// initLeader initializes the leader's state from the loaded rows.
+func (t *term) initLeader(rows loadedRows) {
+	t.control.mu.Lock()
+	current, waves := t.control.policy, maps.Clone(t.control.waves)
+	t.control.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
 	if current != nil {
-		r.leader.SetPolicy(current)
+		t.leader.SetPolicy(current)
 	}
 	for _, wave := range waves {
-		r.leader.UpdateWave(wave, now)
+		t.leader.UpdateWave(wave, now)
 	}
 	for number, wave := range rows.waves {
-		r.leader.LoadWave(number, wave.Done, wave.Complete)
+		t.leader.LoadWave(number, wave.Done, wave.Complete)
 	}
 	for host, change := range rows.changes {
-		r.leader.LoadHostChange(host, change.At, now.Round(0), now)
+		t.leader.LoadHostChange(host, change.At, now.Round(0), now)
 	}
-	r.leader.Load(rows.jobs, now, now)
-	r.loaded = true
+	t.leader.Load(rows.jobs, now, now)
+	t.loaded = true
 }
 
-// loadedRows is what the store holds when a leadership begins.
+// loadedRows is the stored state that a new leader starts from.
 type loadedRows struct {
 	jobs    []fleet.StoredJob
 	waves   map[int64]record.Wave
 	changes map[fleet.HostID]record.HostChange
 }
 
-// readRows reads jobs, cancels, progress, waves and changes of hosts.
-func (r *reign) readRows() (loadedRows, error) {
+// readRows reads jobs, cancels, progress, waves and host changes.
+func (t *term) readRows() (loadedRows, error) {
 	cancelled := map[job.ID]bool{}
 	stored := map[job.ID]*fleet.StoredJob{}
 	for shard := range record.JobShards {
-		if err := r.readShard(shard, stored, cancelled); err != nil {
+		if err := t.readShard(shard, stored, cancelled); err != nil {
 			return loadedRows{}, err
 		}
 	}
-	rows, err := r.config.Store.Scan(r.ctx, record.ProgressPrefix)
+	rows, err := t.config.Store.Scan(t.ctx, record.ProgressPrefix)
 	if err != nil {
 		return loadedRows{}, err
 	}
 	for _, row := range rows {
-		r.addProgress(stored, row)
+		t.decodeProgress(stored, row)
 	}
 	var out loadedRows
 	for id, entry := range stored {
 		entry.Cancelled = cancelled[id]
 		out.jobs = append(out.jobs, *entry)
 	}
-	if out.waves, err = r.readWaves(); err != nil {
+	if out.waves, err = t.readWaves(); err != nil {
 		return loadedRows{}, err
 	}
-	out.changes, err = r.readChanges()
+	out.changes, err = t.readChanges()
 	return out, err
 }
 
-// readChanges reads when each host was last about to be changed.
-func (r *reign) readChanges() (map[fleet.HostID]record.HostChange, error) {
-	rows, err := r.config.Store.Scan(r.ctx, record.HostChangePrefix)
+// readChanges reads when a change of each host was last recorded.
+func (t *term) readChanges() (map[fleet.HostID]record.HostChange, error) {
+	rows, err := t.config.Store.Scan(t.ctx, record.HostChangePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -101,8 +101,8 @@
 	for _, row := range rows {
 		change, err := record.Decode[record.HostChange](row.Value)
 		if err != nil {
-			r.config.Journal.Info("change not readable", "key", row.Key, "version", row.Version, "error", err.Error())
-			// As if it had been just now.
+			t.config.Journal.Info("host change row cannot be decoded", "key", row.Key, "version", row.Version, "error", err.Error())
+			// Assume that the change has just been recorded.
 			change.At = time.Now().Round(0)
 		}
 		changes[fleet.HostID(record.LastSegment(row.Key))] = change
@@ -110,44 +110,44 @@
 	return changes, nil
 }
 
-// readShard reads one part of the jobs and cancels.
-func (r *reign) readShard(shard int, stored map[job.ID]*fleet.StoredJob, cancelled map[job.ID]bool) error {
-	rows, err := r.config.Store.Scan(r.ctx, record.JobPrefix(shard))
+// readShard reads one shard of the jobs and cancels.
+func (t *term) readShard(shard int, stored map[job.ID]*fleet.StoredJob, cancelled map[job.ID]bool) error {
+	rows, err := t.config.Store.Scan(t.ctx, record.JobPrefix(shard))
 	if err != nil {
 		return err
 	}
 	for _, row := range rows {
 		submission, err := job.DecodeSubmission(row.Value)
 		if err != nil {
-			r.config.Journal.Info("job not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+			t.config.Journal.Info("job row cannot be decoded", "key", row.Key, "version", row.Version, "error", err.Error())
 			continue
 		}
 		stored[submission.ID] = &fleet.StoredJob{Submission: submission}
 	}
-	rows, err = r.config.Store.Scan(r.ctx, record.CancelPrefix(shard))
+	rows, err = t.config.Store.Scan(t.ctx, record.CancelPrefix(shard))
 	for _, row := range rows {
 		cancelled[job.ID(record.LastSegment(row.Key))] = true
 	}
 	return err
 }
 
-// addProgress decodes a progress row.
-func (r *reign) addProgress(stored map[job.ID]*fleet.StoredJob, row table.Row) {
+// decodeProgress decodes a progress row into the job that it belongs to.
+func (t *term) decodeProgress(stored map[job.ID]*fleet.StoredJob, row table.Row) {
 	entry := stored[job.ID(record.LastSegment(row.Key))]
 	if entry == nil {
 		return
 	}
 	progress := job.NewProgress()
 	if err := progress.UnmarshalJSON(row.Value); err != nil {
-		r.config.Journal.Info("progress not readable", "key", row.Key, "version", row.Version, "error", err.Error())
+		t.config.Journal.Info("progress row cannot be decoded", "key", row.Key, "version", row.Version, "error", err.Error())
 		return
 	}
 	entry.Progress = progress
 }
 
-// readWaves reads what has been done of each wave.
-func (r *reign) readWaves() (map[int64]record.Wave, error) {
-	rows, err := r.config.Store.Scan(r.ctx, record.WavePrefix)
+// readWaves reads the progress of each maintenance wave.
+func (t *term) readWaves() (map[int64]record.Wave, error) {
+	rows, err := t.config.Store.Scan(t.ctx, record.WavePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +156,7 @@
 		wave, err := record.Decode[record.Wave](row.Value)
 		number, ok := waveNumber(row.Key)
 		if err != nil || !ok {
-			r.config.Journal.Info("wave not readable", "key", row.Key, "version", row.Version)
+			t.config.Journal.Info("wave row cannot be decoded", "key", row.Key, "version", row.Version)
 			continue
 		}
 		waves[number] = wave
@@ -164,33 +164,33 @@
 	return waves, nil
 }
 
-// waveNumber returns the wave that a key names.
+// waveNumber parses the wave's number from a key.
 func waveNumber(key string) (int64, bool) {
 	return parseNumber(strings.TrimPrefix(key, record.WavePrefix))
 }
 
-// lookupLoop reads the rows of jobs that endpoints know and the leader does not.
-func (r *reign) lookupLoop(ctx context.Context) {
+// lookupLoop reads the rows of jobs that endpoints report and the leader does not know.
+func (t *term) lookupLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-r.lookups:
-			stored, err := r.readJob(ctx, id)
+		case id := <-t.lookups:
+			stored, err := t.readJob(ctx, id)
 			if err != nil {
-				r.config.Journal.Info("job not looked up", "job", id, "error", err.Error())
+				t.config.Journal.Info("job not looked up", "job", id, "error", err.Error())
 				continue
 			}
 			now := time.Now()
-			r.locked(func() { r.leader.HandleLookup(id, stored, now, now) })
-			r.kick()
+			t.locked(func() { t.leader.HandleLookup(id, stored, now, now) })
+			t.requestStep()
 		}
 	}
 }
 
-// readJob reads one job's rows, or nil if it has none.
-func (r *reign) readJob(ctx context.Context, id job.ID) (*fleet.StoredJob, error) {
-	rows, err := r.config.Store.Get(ctx, record.JobKey(id), record.CancelKey(id), record.ProgressKey(id))
+// readJob reads one job's rows. It returns nil if the job does not exist.
+func (t *term) readJob(ctx context.Context, id job.ID) (*fleet.StoredJob, error) {
+	rows, err := t.config.Store.Get(ctx, record.JobKey(id), record.CancelKey(id), record.ProgressKey(id))
 	if err != nil {
 		return nil, err
 	}
@@ -203,7 +203,7 @@
 	}
 	stored := map[job.ID]*fleet.StoredJob{id: {Submission: submission, Cancelled: rows[1].Version != table.Absent}}
 	if rows[2].Version != table.Absent {
-		r.addProgress(stored, rows[2])
+		t.decodeProgress(stored, rows[2])
 	}
 	return stored[id], nil
 }
--- /dev/null
+++ b/internal/control/term.go
@@ -0,0 +1,256 @@
+package control
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"github.com/lovagedyke/lovagedyke/internal/fleet"
+	"github.com/lovagedyke/lovagedyke/internal/job"
+	"github.com/lovagedyke/lovagedyke/internal/loops"
+	"github.com/lovagedyke/lovagedyke/internal/policy"
+	"github.com/lovagedyke/lovagedyke/internal/record"
+	"github.com/lovagedyke/lovagedyke/internal/table"
+)
+
+const (
+	// maxStepInterval is the longest time between two scheduling steps, for
+	// decisions that depend on time alone.
+	maxStepInterval = 100 * time.Millisecond
+	// minStepPause batches events that arrive together into one step.
+	minStepPause = 8 * time.Millisecond
+	// stepPauseFactor times a step's duration is the pause after it, up to
+	// maxStepPause: at peak load steps would else take half of the CPU.
+	stepPauseFactor = 4
+	maxStepPause    = 50 * time.Millisecond
+	// minBatchPause is the shortest time between two batches: each call to the
+	// store is charged.
+	minBatchPause = 30 * time.Millisecond
+	// commitRetryDelay is the time before a failed commit is retried.
+	commitRetryDelay = 100 * time.Millisecond
+	// renewInterval is the time between two renewals of the claim.
+	renewInterval = time.Second
+	// loadRetryDelay is the time before a failed load is retried.
+	loadRetryDelay = 150 * time.Millisecond
+	// lookupQueueSize is the number of job lookups that may wait, and
+	// lookupWorkers the number of concurrent ones.
+	lookupQueueSize = 256
+	lookupWorkers   = 4
+	// cleanupInterval is the time between two cleanups of old jobs, and
+	// maxCleanupJobs the number of jobs per cleanup: a transaction has at most
+	// 100 entries.
+	cleanupInterval = 5 * time.Second
+	maxCleanupJobs  = 40
+)
+
+// term is one leadership term of this process.
+type term struct {
+	control *Control
+	config  Config
+	ctx     context.Context
+	claim   record.Claim
+	writer  *writer
+	group   *loops.Group
+
+	mu       sync.Mutex
+	leader   *fleet.Leader
+	loaded   bool
+	sessions map[fleet.EndpointID]*endpointSession
+	// wakeStep wakes stepLoop, wakeBatch wakes batchLoop.
+	wakeStep, wakeBatch chan struct{}
+	hostOrders          chan hostOrder
+	adviceQueries       chan fleet.AdviceRequest
+	lookups             chan job.ID
+}
+
+func newTerm(ctx context.Context, c *Control, claim record.Claim, version uint64) *term {
+	t := &term{
+		control: c, config: c.config, ctx: ctx, claim: claim,
+		leader: fleet.New(fleet.Config{
+			Token: claim.Token, Now: time.Now(), Bounds: c.config.Bounds, Journal: c.config.Journal,
+		}),
+		sessions: map[fleet.EndpointID]*endpointSession{},
+		wakeStep: make(chan struct{}, 1), wakeBatch: make(chan struct{}, 1),
+		hostOrders: make(chan hostOrder, hostOrderQueueSize), adviceQueries: make(chan fleet.AdviceRequest, adviceQueueSize),
+		lookups: make(chan job.ID, lookupQueueSize),
+	}
+	t.writer = newWriter(writerConfig{
+		Store: c.config.Store, Journal: c.config.Journal, Token: claim.Token, ClaimVersion: version,
+		Confirmed: func(sentAt time.Time) { t.locked(func() { t.leader.ConfirmLeadership(sentAt) }) },
+		Lost:      func() { c.config.Lost(claim.Token, "another process has changed the leadership claim") },
+	})
+	return t
+}
+
+// run leads until the term's context ends.
+func (t *term) run() {
+	if !t.load() {
+		return
+	}
+	t.group = loops.New(t.ctx)
+	t.group.Go(t.endpointFeed)
+	t.group.Go(func(ctx context.Context) { t.rowFeed(ctx, record.JobTable, t.applyJobRow) })
+	t.group.Go(func(ctx context.Context) { t.rowFeed(ctx, record.CancelTable, t.applyCancelRow) })
+	t.group.Go(t.batchLoop)
+	t.group.Go(t.stepLoop)
+	t.group.Go(t.hostFeed)
+	t.group.Go(t.hostLoop)
+	t.group.Go(t.cleanupLoop)
+	for range lookupWorkers {
+		t.group.Go(t.lookupLoop)
+	}
+	if t.config.Advice != nil {
+		for range adviceWorkers {
+			t.group.Go(t.adviceLoop)
+		}
+	}
+	t.group.Wait()
+}
+
+// locked runs f under the leader's lock and releases it also when f panics over
+// a broken invariant: otherwise the process could not shut down.
+func (t *term) locked(f func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	f()
+}
+
+// requestStep wakes stepLoop and batchLoop.
+func (t *term) requestStep() {
+	signal(t.wakeStep)
+	signal(t.wakeBatch)
+}
+
+func signal(c chan struct{}) {
+	select {
+	case c <- struct{}{}:
+	default:
+	}
+}
+
+// sleep waits for d. It returns false early when ctx ends.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+func (t *term) isLoaded() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.loaded
+}
+
+// setPolicy applies a new configuration.
+func (t *term) setPolicy(current *policy.Policy) {
+	t.locked(func() { t.leader.SetPolicy(current) })
+	t.requestStep()
+}
+
+// setWave adds or updates a maintenance wave.
+func (t *term) setWave(wave fleet.WaveRow) {
+	t.locked(func() { t.leader.UpdateWave(wave, time.Now()) })
+	t.requestStep()
+}
+
+// accept adds a job that is stored.
+func (t *term) accept(submission *job.Submission) {
+	now := time.Now()
+	t.locked(func() { t.leader.AddJob(submission, now, now) })
+	t.requestStep()
+}
+
+// cancel applies a cancel that is stored.
+func (t *term) cancel(id job.ID) {
+	t.locked(func() { t.leader.CancelJob(id, time.Now()) })
+	t.requestStep()
+}
+
+// applyJobRow handles a job row of the feed.
+func (t *term) applyJobRow(change table.Change) {
+	if change.Removed {
+		return
+	}
+	submission, err := job.DecodeSubmission(change.Row.Value)
+	if err != nil {
+		t.config.Journal.Info("job row cannot be decoded", "key", change.Row.Key, "version", change.Row.Version, "error", err.Error())
+		return
+	}
+	t.accept(submission)
+}
+
+// applyCancelRow handles a cancel row of the feed.
+func (t *term) applyCancelRow(change table.Change) {
+	if !change.Removed {
+		t.cancel(job.ID(record.LastSegment(change.Row.Key)))
+	}
+}
+
+// stepLoop runs the leader's scheduling steps and queues their orders.
+func (t *term) stepLoop(ctx context.Context) {
+	for {
+		timer := time.NewTimer(maxStepInterval)
+		select {
+		case <-ctx.Done():
+			timer.Stop()
+			return
+		case <-t.wakeStep:
+		case <-timer.C:
+		}
+		timer.Stop()
+		took := t.step()
+		if !sleep(ctx, min(maxStepPause, max(minStepPause, stepPauseFactor*took))) {
+			return
+		}
+	}
+}
+
+// step runs one scheduling step and returns its duration.
+func (t *term) step() time.Duration {
+	started := time.Now()
+	confirmedAt := t.config.MajorityConfirmedAt()
+	t.locked(func() {
+		t.leader.ConfirmLeadership(confirmedAt)
+		t.queueOrders(t.leader.Step(started, started))
+	})
+	metrics.GetOrCreateHistogram("leader_step_seconds").UpdateDuration(started)
+	return time.Since(started)
+}
+
+// queueOrders queues the orders of a step; t.mu must be held.
+func (t *term) queueOrders(orders fleet.Orders) {
+	t.syncSessions()
+	byEndpoint := t.sessions
+	for _, start := range orders.Starts {
+		t.queueOrder(byEndpoint[start.Endpoint], order{start: &start})
+	}
+	for _, stop := range orders.Stops {
+		t.queueOrder(byEndpoint[stop.Endpoint], order{stop: &stop})
+	}
+	for _, throttle := range orders.Throttles {
+		t.queueOrder(byEndpoint[throttle.Endpoint], order{throttle: &throttle})
+	}
+	for _, id := range orders.Lookups {
+		select {
+		case t.lookups <- id:
+		default:
+			// The leader requests the lookup again.
+		}
+	}
+	for _, query := range orders.AdviceRequests {
+		t.queueAdviceQuery(query)
+	}
+	for _, move := range orders.Moves {
+		t.queueHostOrder(hostOrder{move: &move})
+	}
+	for _, maintenance := range orders.Maintenance {
+		t.queueHostOrder(hostOrder{maintenance: &maintenance})
+	}
+}
--- a/internal/member/leadership.go
+++ b/internal/member/leadership.go
@@ -14,41 +14,43 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// round does what is due: as leader keep the claim, else watch the leader.
+// round runs one iteration of Run: a leader checks that it should still lead,
+// other processes check that the leader is alive.
 func (n *Node) round(ctx context.Context) {
 	n.mu.Lock()
 	leading, stopping, claim := n.leading, n.stopping, n.claim
-	silent := time.Since(n.heardAt) > leaderSilence
+	isLeaderSilent := time.Since(n.leaderHeardAt) > leaderTimeout
 	n.mu.Unlock()
 	switch {
 	case leading:
-		n.lead(ctx)
+		n.keepLeading(ctx)
 		return
 	case stopping:
 		return
 	case claim.Token != 0 && !claim.Released && claim.Name != n.config.Name:
-		if n.helloTo(ctx, claim.Address) || !silent {
+		if n.callHello(ctx, claim.Address) || !isLeaderSilent {
 			return
 		}
 	}
-	n.succeed(ctx)
+	n.tryTakeOver(ctx)
 }
 
-// lead refreshes the members, and hands over when the store turns away us alone.
-func (n *Node) lead(ctx context.Context) {
+// keepLeading refreshes the members, and hands the leadership over when the
+// store is unreachable for this process alone.
+func (n *Node) keepLeading(ctx context.Context) {
 	n.mu.Lock()
-	storeSince := time.Since(n.storeOKAt)
-	isCut := n.storeFailedAt.After(n.storeOKAt) && storeSince > storeSilence
-	isStale := storeSince > membersEvery
+	sinceStoreOK := time.Since(n.storeOKAt)
+	isExcluded := n.storeFailedAt.After(n.storeOKAt) && sinceStoreOK > storeOutageTimeout
+	isStale := sinceStoreOK > membersInterval
 	n.mu.Unlock()
 	switch {
-	case isCut && !n.reachesStore(ctx):
-		if n.handOver(ctx, "store turns us away") {
+	case isExcluded && !n.reachesStore(ctx):
+		if n.handOver(ctx, "the store is unreachable for this process alone") {
 			return
 		}
 	default:
-		n.passedOver.note(true, false, time.Now())
-		if n.yield(ctx) {
+		n.storeExclusion.observe(true, false, time.Now())
+		if n.yieldToStronger(ctx) {
 			return
 		}
 	}
@@ -57,40 +59,40 @@
 	}
 }
 
-// reachesStore asks the store once more: it may have come back for all.
+// reachesStore calls the store once more: it may be reachable for all again.
 func (n *Node) reachesStore(ctx context.Context) bool {
-	asking, cancel := context.WithTimeout(ctx, helloTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	return n.readClaim(asking, n.config.Store)
+	return n.readClaim(callCtx, n.config.Store)
 }
 
-// succeed takes over if no one leads.
-func (n *Node) succeed(ctx context.Context) {
-	n.pause(ctx, n.candidatePause())
-	// Only a process that reaches the store itself can lead well.
+// tryTakeOver takes over the leadership if there is no live leader.
+func (n *Node) tryTakeOver(ctx context.Context) {
+	n.pause(ctx, n.candidateDelay())
+	// Only a process that reaches the store directly becomes a candidate.
 	if !n.readClaim(ctx, n.config.Store) {
 		return
 	}
 	n.mu.Lock()
-	claim, silent := n.claim, time.Since(n.heardAt)
-	renewed := time.Since(n.renewedAt)
+	claim, sinceHeard := n.claim, time.Since(n.leaderHeardAt)
+	sinceRenewal := time.Since(n.renewedAt)
 	n.mu.Unlock()
 	isOpen := claim.Token == 0 || claim.Released || claim.Name == n.config.Name
-	if !isOpen && silent <= leaderSilence {
+	if !isOpen && sinceHeard <= leaderTimeout {
 		return
 	}
-	if !isOpen && !n.othersMissLeader(ctx, renewed) {
+	if !isOpen && !n.peersLostLeader(ctx, sinceRenewal) {
 		return
 	}
-	n.take(ctx)
+	n.claimLeadership(ctx)
 }
 
-// candidatePause is how long to wait before taking over: processes with more
-// processor than the others go first, since the leader needs most of it.
-func (n *Node) candidatePause() time.Duration {
+// candidateDelay returns how long to wait before taking over: processes with
+// more CPU go first, since the leader needs the most of it.
+func (n *Node) candidateDelay() time.Duration {
 	n.mu.Lock()
-	if n.wished {
-		n.wished = false
+	if n.takeoverRequested {
+		n.takeoverRequested = false
 		n.mu.Unlock()
 		return 0
 	}
@@ -101,31 +103,32 @@
 		}
 	}
 	n.mu.Unlock()
-	return rand.N(spreadMost) + min(strongerMost, time.Duration(stronger)*strongerPause)
+	return rand.N(maxCandidateJitter) + min(maxStrongerDelay, time.Duration(stronger)*strongerPeerDelay)
 }
 
-// othersMissLeader asks the other members whether they hear the leader. While
-// no one answers we may be the one that is cut off: then the leader's renewal
-// of its claim decides.
-func (n *Node) othersMissLeader(ctx context.Context, renewed time.Duration) bool {
+// peersLostLeader asks the other members whether they have lost the leader too.
+// If none answers, this process may be the isolated one: then the age of the
+// leader's last claim renewal decides.
+func (n *Node) peersLostLeader(ctx context.Context, sinceRenewal time.Duration) bool {
 	answered := 0
-	for _, member := range n.others() {
-		view, err := n.ask(ctx, member.Address)
+	for _, member := range n.otherMembers() {
+		view, err := n.fetchView(ctx, member.Address)
 		if err != nil {
 			continue
 		}
 		answered++
-		n.takeView(view)
-		if view.Leading || view.LeaderHeardMs < leaderSilence.Milliseconds()/2 {
-			n.config.Journal.Info("leader is heard by others", "by", member.Name)
+		n.applyView(view)
+		if view.Leading || view.LeaderHeardMs < leaderTimeout.Milliseconds()/2 {
+			n.config.Journal.Info("takeover cancelled: another process hears the leader", "by", member.Name)
 			return false
 		}
 	}
-	return answered > 0 || renewed > renewalSilence || len(n.others()) == 0
+	return answered > 0 || sinceRenewal > renewalTimeout || len(n.otherMembers()) == 0
 }
 
-// take changes the claim to ours, under the condition that it is as we read it.
-func (n *Node) take(ctx context.Context) {
+// claimLeadership writes a claim for this process, on the condition that the
+// claim row has not changed since it was read.
+func (n *Node) claimLeadership(ctx context.Context) {
 	n.mu.Lock()
 	next := record.Claim{Token: n.claim.Token + 1, Name: n.config.Name, Address: n.config.Address}
 	version, stopping := n.claimVersion, n.stopping
@@ -137,129 +140,132 @@
 		Conditions: []table.Condition{{Key: record.ClaimKey, Version: version}},
 		Writes:     []table.Write{{Key: record.ClaimKey, Value: record.Encode(next)}},
 	})
-	n.noteStore(err)
+	n.observeStore(err)
 	if err != nil && !errors.Is(err, table.ErrUnknown) {
-		n.config.Journal.Info("claim not taken", "token", next.Token, "error", err.Error())
+		n.config.Journal.Info("leadership claim not written", "token", next.Token, "error", err.Error())
 		n.readClaim(ctx, n.config.Store)
 		return
 	}
-	// The row's new version is part of each later transaction. A lost answer is settled here, too.
+	// The row's new version is a condition of each later transaction. Reading it
+	// also resolves a lost answer.
 	rows, err := n.Store().Get(ctx, record.ClaimKey)
 	if err != nil {
-		n.config.Journal.Info("claim's outcome not known", "token", next.Token, "error", err.Error())
+		n.config.Journal.Info("leadership claim's outcome unknown", "token", next.Token, "error", err.Error())
 		return
 	}
 	current, err := record.Decode[record.Claim](rows[0].Value)
 	if err != nil || current.Token != next.Token || current.Name != next.Name {
-		n.config.Journal.Info("claim taken by another", "token", current.Token, "leader", current.Name)
-		n.learn(current, "store")
+		n.config.Journal.Info("leadership claimed by another process", "token", current.Token, "leader", current.Name)
+		n.observeClaim(current, "store")
 		return
 	}
-	n.won(ctx, current, rows[0].Version)
+	n.startTerm(ctx, current, rows[0].Version)
 }
 
-// won starts the leadership.
-func (n *Node) won(ctx context.Context, claim record.Claim, version uint64) {
-	leadCtx, resign := context.WithCancel(ctx)
+// startTerm starts this process's leadership term.
+func (n *Node) startTerm(ctx context.Context, claim record.Claim, version uint64) {
+	termCtx, cancelTerm := context.WithCancel(ctx)
 	n.mu.Lock()
 	if n.stopping || n.leading {
 		n.mu.Unlock()
-		resign()
+		cancelTerm()
 		return
 	}
 	n.claim, n.claimVersion = claim, version
-	n.leading, n.resign = true, resign
+	n.leading, n.cancelTerm = true, cancelTerm
 	n.wonAt = time.Now()
-	n.heardAt = time.Now()
+	n.leaderHeardAt = time.Now()
 	n.mu.Unlock()
 	metrics.GetOrCreateCounter("leaderships_total").Inc()
 	n.config.Journal.Info("leadership won", "token", claim.Token)
-	n.config.Won(leadCtx, claim, version)
+	n.config.Won(termCtx, claim, version)
 }
 
-// Lost ends our leadership after the store or an endpoint has shown a later one.
-func (n *Node) Lost(token uint64, why string) {
+// Lost ends this process's leadership, for instance after the store or an
+// endpoint has reported a newer leader.
+func (n *Node) Lost(token uint64, reason string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading || n.claim.Token != token {
 		return
 	}
 	n.leading = false
-	n.resign()
-	n.heardAt = time.Time{}
-	n.config.Journal.Info("leadership lost", "token", token, "why", why)
-	n.signal()
+	n.cancelTerm()
+	n.leaderHeardAt = time.Time{}
+	n.config.Journal.Info("leadership lost", "token", token, "why", reason)
+	n.wakeUp()
 }
 
-// handOver asks a peer to lead that has reached the store while we did not, for
-// some time. It reports whether one has taken over.
-func (n *Node) handOver(ctx context.Context, why string) bool {
+// handOver offers the leadership to a peer that reaches the store while this
+// process has not reached it for some time. It reports whether a peer accepted.
+func (n *Node) handOver(ctx context.Context, reason string) bool {
 	n.mu.Lock()
 	token := n.claim.Token
 	n.mu.Unlock()
-	isPeerServed := false
-	for _, member := range n.others() {
-		view, err := n.ask(ctx, member.Address)
+	isPeerReachable := false
+	for _, member := range n.otherMembers() {
+		view, err := n.fetchView(ctx, member.Address)
 		if err != nil {
 			continue
 		}
-		n.takeView(view)
+		n.applyView(view)
 		if !view.StoreReached {
 			continue
 		}
-		isPeerServed = true
-		if !n.passedOver.note(false, true, time.Now()) {
+		isPeerReachable = true
+		if !n.storeExclusion.observe(false, true, time.Now()) {
 			return false
 		}
-		if n.offer(ctx, member, token, why) {
+		if n.offerLeadership(ctx, member, token, reason) {
 			return true
 		}
 	}
-	if !isPeerServed {
-		n.passedOver.note(false, false, time.Now())
+	if !isPeerReachable {
+		n.storeExclusion.observe(false, false, time.Now())
 	}
 	return false
 }
 
-// yield hands the leadership to a much stronger process that has come back, once
-// we have led for a while. It reports whether one has taken over.
-func (n *Node) yield(ctx context.Context) bool {
+// yieldToStronger hands the leadership to a process with much more CPU, once
+// this one has led for minTermBeforeYield. It reports whether one accepted.
+func (n *Node) yieldToStronger(ctx context.Context) bool {
 	n.mu.Lock()
-	token, since := n.claim.Token, time.Since(n.wonAt)
+	token, termAge := n.claim.Token, time.Since(n.wonAt)
 	n.mu.Unlock()
-	if since < yieldAfter {
+	if termAge < minTermBeforeYield {
 		return false
 	}
-	for _, member := range n.others() {
+	for _, member := range n.otherMembers() {
 		if member.Processor < yieldFactor*n.config.Processor {
-			// They come in the order of their processors.
+			// Members are sorted by CPU, strongest first.
 			return false
 		}
-		view, err := n.ask(ctx, member.Address)
+		view, err := n.fetchView(ctx, member.Address)
 		if err != nil || !view.StoreReached {
 			continue
 		}
-		if n.offer(ctx, member, token, "a stronger process is there") {
+		if n.offerLeadership(ctx, member, token, "a process with more CPU is available") {
 			return true
 		}
 	}
 	return false
 }
 
-// offer asks a process to lead in our place. It reports whether it will.
-func (n *Node) offer(ctx context.Context, member record.Member, token uint64, why string) bool {
-	lead, cancel := context.WithTimeout(ctx, helloTimeout)
+// offerLeadership asks a process to take over the leadership. It reports
+// whether the process accepted.
+func (n *Node) offerLeadership(ctx context.Context, member record.Member, token uint64, reason string) bool {
+	callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	if _, err := n.dialer.dial(member.Address).Lead(lead, &memberpb.LeadRequest{Token: token}); err != nil {
+	if _, err := n.dialer.dial(member.Address).Lead(callCtx, &memberpb.LeadRequest{Token: token}); err != nil {
 		return false
 	}
-	n.config.Journal.Info("leadership handed over", "to", member.Name, "token", token, "why", why)
-	n.Lost(token, why)
+	n.config.Journal.Info("leadership handed over", "to", member.Name, "token", token, "why", reason)
+	n.Lost(token, reason)
 	return true
 }
 
 // Stop releases the claim, so that a successor takes over at once. The node
-// leads no more.
+// doesn't lead again.
 func (n *Node) Stop(ctx context.Context) {
 	n.mu.Lock()
 	n.stopping = true
@@ -275,11 +281,11 @@
 		Writes:     []table.Write{{Key: record.ClaimKey, Value: record.Encode(claim)}},
 	})
 	if err != nil {
-		n.config.Journal.Info("claim not released", "error", err.Error())
+		n.config.Journal.Info("leadership claim not released", "error", err.Error())
 	}
-	for _, member := range n.others() {
-		call, cancel := context.WithTimeout(ctx, helloTimeout)
-		_, err := n.dialer.dial(member.Address).Lead(call, &memberpb.LeadRequest{Token: claim.Token})
+	for _, member := range n.otherMembers() {
+		callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
+		_, err := n.dialer.dial(member.Address).Lead(callCtx, &memberpb.LeadRequest{Token: claim.Token})
 		cancel()
 		if err == nil {
 			n.config.Journal.Info("leadership handed over", "to", member.Name, "token", claim.Token, "why", "stopping")
@@ -288,9 +294,9 @@
 	}
 }
 
-// asked takes over on another process's wish, if its claim is the newest. It
-// returns false if this process is about to end itself.
-func (n *Node) asked(token uint64) bool {
+// acceptTakeover handles the leader's request to take over, if token is the
+// newest. It returns false if this process is stopping too.
+func (n *Node) acceptTakeover(token uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.stopping {
@@ -299,16 +305,17 @@
 	if n.claim.Token > token || n.leading {
 		return true
 	}
-	n.wished = true
-	// As if the claim were released: the next round takes it.
+	n.takeoverRequested = true
+	// Treat the claim as released: the next round takes over.
 	n.claim = record.Claim{Token: token, Name: n.claim.Name, Address: n.claim.Address, Released: true}
-	n.heardAt = time.Time{}
-	n.signal()
+	n.leaderHeardAt = time.Time{}
+	n.wakeUp()
 	return true
 }
 
-// Followed returns since when most members have told us that we lead, ourselves
-// among them: of the newest signs of a majority, the oldest.
+// MajorityConfirmedAt returns when a majority of the members, including this
+// process, last confirmed it as leader: the oldest of the majority's newest
+// confirmations.
 func (n *Node) MajorityConfirmedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -316,15 +323,15 @@
 	if needed == 0 {
 		return time.Time{}
 	}
-	var signs []time.Time
+	var confirmations []time.Time
 	for name := range n.members {
-		if at, ok := n.followedAt[name]; ok {
-			signs = append(signs, at)
+		if at, ok := n.confirmedAt[name]; ok {
+			confirmations = append(confirmations, at)
 		}
 	}
-	if len(signs) < needed {
+	if len(confirmations) < needed {
 		return time.Time{}
 	}
-	slices.SortFunc(signs, func(a, b time.Time) int { return b.Compare(a) })
-	return signs[needed-1]
+	slices.SortFunc(confirmations, func(a, b time.Time) int { return b.Compare(a) })
+	return confirmations[needed-1]
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -19,12 +19,12 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// patience bounds waiting for a condition that has to come true.
-const patience = 60 * time.Second
+// waitTimeout bounds waiting for an expected condition.
+const waitTimeout = 60 * time.Second
 
-type silent struct{}
+type discardJournal struct{}
 
-func (silent) Info(string, ...any) {}
+func (discardJournal) Info(string, ...any) {}
 
 type noFleet struct{}
 
@@ -38,55 +38,55 @@
 
 func (noPolicy) NewerThan(uint64) (uint64, []byte) { return 0, nil }
 
-// gate is a store that turns one process away.
-type gate struct {
+// blockableStore is a store that can be made unavailable for one process.
+type blockableStore struct {
 	table.Store
-	mu   sync.Mutex
-	shut bool
+	mu      sync.Mutex
+	blocked bool
 }
 
-func (g *gate) set(shut bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.shut = shut
+func (s *blockableStore) setBlocked(blocked bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.blocked = blocked
 }
 
-func (g *gate) isShut() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.shut
+func (s *blockableStore) isBlocked() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.blocked
 }
 
-func (g *gate) Get(ctx context.Context, keys ...string) ([]table.Row, error) {
-	if g.isShut() {
+func (s *blockableStore) Get(ctx context.Context, keys ...string) ([]table.Row, error) {
+	if s.isBlocked() {
 		return nil, table.ErrUnavailable
 	}
-	return g.Store.Get(ctx, keys...)
+	return s.Store.Get(ctx, keys...)
 }
 
-func (g *gate) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
-	if g.isShut() {
+func (s *blockableStore) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
+	if s.isBlocked() {
 		return nil, table.ErrUnavailable
 	}
-	return g.Store.Scan(ctx, prefix)
+	return s.Store.Scan(ctx, prefix)
 }
 
-func (g *gate) Commit(ctx context.Context, txn table.Txn) error {
-	if g.isShut() {
+func (s *blockableStore) Commit(ctx context.Context, txn table.Txn) error {
+	if s.isBlocked() {
 		return table.ErrUnavailable
 	}
-	return g.Store.Commit(ctx, txn)
+	return s.Store.Commit(ctx, txn)
 }
 
-// process is a member with its port.
+// process is a member with its HTTP server.
 type process struct {
 	node *member.Node
-	// address is where it serves the others.
-	address netip.AddrPort
-	gate    *gate
-	server  *http.Server
-	stop    context.CancelFunc
-	ended   chan struct{}
+	// address is the address of its server.
+	address        netip.AddrPort
+	blockableStore *blockableStore
+	server         *http.Server
+	stop           context.CancelFunc
+	ended          chan struct{}
 
 	mu     sync.Mutex
 	tokens []uint64
@@ -94,19 +94,19 @@
 
 func newProcess(t *testing.T, name string, store table.Store) *process {
 	t.Helper()
-	return newProcessOf(t, name, store, 1)
+	return newProcessWithCPU(t, name, store, 1)
 }
 
-// newProcessOf starts a process with some of a processor.
-func newProcessOf(t *testing.T, name string, store table.Store, processor float64) *process {
+// newProcessWithCPU starts a process with a share of a CPU core.
+func newProcessWithCPU(t *testing.T, name string, store table.Store, processor float64) *process {
 	t.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{address: netip.MustParseAddrPort(socket.Addr().String()), gate: &gate{Store: store}, ended: make(chan struct{})}
+	p := &process{address: netip.MustParseAddrPort(socket.Addr().String()), blockableStore: &blockableStore{Store: store}, ended: make(chan struct{})}
 	p.node = member.New(member.Config{
-		Name: name, Address: netip.MustParseAddrPort(socket.Addr().String()), Store: p.gate, Journal: silent{}, Processor: processor,
+		Name: name, Address: netip.MustParseAddrPort(socket.Addr().String()), Store: p.blockableStore, Journal: discardJournal{}, Processor: processor,
 		Won: func(_ context.Context, claim record.Claim, _ uint64) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -135,7 +135,7 @@
 	return p
 }
 
-// kill ends a process without a word to the others.
+// kill stops a process without notifying the others.
 func (p *process) kill() {
 	p.stop()
 	_ = p.server.Close()
@@ -148,8 +148,8 @@
 	return isSelf
 }
 
-// newest is the token of the process's last leadership.
-func (p *process) newest() uint64 {
+// latestToken returns the token of the process's last leadership.
+func (p *process) latestToken() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.tokens) == 0 {
@@ -158,32 +158,33 @@
 	return p.tokens[len(p.tokens)-1]
 }
 
-// leaderOf waits for one process to lead with a token above one that is given.
-func leaderOf(t *testing.T, above uint64, processes ...*process) *process {
+// waitForLeader waits until one of the processes leads with a token above the
+// given one.
+func waitForLeader(t *testing.T, above uint64, processes ...*process) *process {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, p := range processes {
-			if p.leads() && p.newest() > above {
+			if p.leads() && p.latestToken() > above {
 				return p
 			}
 		}
 	}
-	t.Fatalf("leader with a token above %d: got none within %s, want one", above, patience)
+	t.Fatalf("leader with a token above %d: got none within %s, want one", above, waitTimeout)
 	return nil
 }
 
-// others lists the processes but one.
-func others(processes []*process, not *process) []*process {
+// processesExcept returns the processes except one.
+func processesExcept(processes []*process, except *process) []*process {
 	var rest []*process
 	for _, p := range processes {
-		if p != not {
+		if p != except {
 			rest = append(rest, p)
 		}
 	}
 	return rest
 }
 
-func three(t *testing.T, store table.Store) []*process {
+func startThree(t *testing.T, store table.Store) []*process {
 	t.Helper()
 	return []*process{newProcess(t, "a", store), newProcess(t, "b", store), newProcess(t, "c", store)}
 }
@@ -191,70 +192,70 @@
 func TestSuccession(t *testing.T) {
 	ends := map[string]func(p *process){
 		"killed":                 func(p *process) { p.kill() },
-		"stopped in order":       func(p *process) { p.node.Stop(context.Background()) },
-		"turned away by a store": func(p *process) { p.gate.set(true); p.node.ObserveStore(table.ErrUnavailable) },
+		"stopped gracefully":     func(p *process) { p.node.Stop(context.Background()) },
+		"cut off from the store": func(p *process) { p.blockableStore.setBlocked(true); p.node.ObserveStore(table.ErrUnavailable) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			processes := three(t, table.NewMemory())
-			first := leaderOf(t, 0, processes...)
+			processes := startThree(t, table.NewMemory())
+			first := waitForLeader(t, 0, processes...)
 			end(first)
-			second := leaderOf(t, first.newest(), others(processes, first)...)
-			if got, want := second.newest(), first.newest(); got <= want {
+			second := waitForLeader(t, first.latestToken(), processesExcept(processes, first)...)
+			if got, want := second.latestToken(), first.latestToken(); got <= want {
 				t.Errorf("token: got %d, want above %d", got, want)
 			}
 		})
 	}
 }
 
-// The leader that stops hands over to a process that does not.
-func TestStoppingProcessesAreNotAskedToLead(t *testing.T) {
-	processes := three(t, table.NewMemory())
-	first := leaderOf(t, 0, processes...)
-	rest := others(processes, first)
+// A stopping leader hands over to a process that is not stopping itself.
+func TestStoppingProcessRefusesLeadership(t *testing.T) {
+	processes := startThree(t, table.NewMemory())
+	first := waitForLeader(t, 0, processes...)
+	rest := processesExcept(processes, first)
 	rest[0].node.Stop(context.Background())
-	lead := &memberpb.LeadRequest{Token: first.newest()}
+	lead := &memberpb.LeadRequest{Token: first.latestToken()}
 	if _, err := first.node.Dial(rest[0].address).Lead(context.Background(), lead); err == nil {
-		t.Error("a stopping process that is asked: got yes, want an error")
+		t.Error("offering the leadership to a stopping process: got no error, want one")
 	}
 	first.node.Stop(context.Background())
-	leaderOf(t, first.newest(), rest[1])
+	waitForLeader(t, first.latestToken(), rest[1])
 }
 
-// A call that we broke off ourselves says nothing about the store.
-func TestOwnCancelIsNoSignOfTheStore(t *testing.T) {
+// A call that the process cancelled itself doesn't count as a store failure.
+func TestOwnCancelIsNoStoreFailure(t *testing.T) {
 	p := newProcess(t, "a", table.NewMemory())
-	leaderOf(t, 0, p)
+	waitForLeader(t, 0, p)
 	p.node.ObserveStore(errors.Mark(context.Canceled, table.ErrUnavailable))
 	if !p.node.StoreReached() {
 		t.Error("store reached: got false, want true")
 	}
 }
 
-// A weak process that leads gives way to a strong one that has come back.
+// A leader with little CPU hands over to a stronger process that has restarted.
 func TestWeakLeaderYields(t *testing.T) {
 	store := table.NewMemory()
-	strong := newProcessOf(t, "a", store, 0.8)
-	leaderOf(t, 0, strong)
-	weak := newProcessOf(t, "b", store, 0.2)
-	middling := newProcessOf(t, "c", store, 0.3)
+	strong := newProcessWithCPU(t, "a", store, 0.8)
+	waitForLeader(t, 0, strong)
+	weak := newProcessWithCPU(t, "b", store, 0.2)
+	middling := newProcessWithCPU(t, "c", store, 0.3)
 	strong.kill()
-	next := leaderOf(t, 1, weak, middling)
-	again := newProcessOf(t, "a", store, 0.8)
-	leaderOf(t, next.newest(), again)
+	next := waitForLeader(t, 1, weak, middling)
+	again := newProcessWithCPU(t, "a", store, 0.8)
+	waitForLeader(t, next.latestToken(), again)
 	time.Sleep(3 * time.Second)
 	if !again.leads() {
 		t.Error("strong process leads: got false after a while, want true")
 	}
 }
 
-func TestOneLeaderOfMany(t *testing.T) {
-	processes := three(t, table.NewMemory())
-	leaderOf(t, 0, processes...)
+func TestOneLeaderPerToken(t *testing.T) {
+	processes := startThree(t, table.NewMemory())
+	waitForLeader(t, 0, processes...)
 	tokens := map[uint64]bool{}
 	for _, p := range processes {
-		if token := p.newest(); token != 0 {
+		if token := p.latestToken(); token != 0 {
 			if tokens[token] {
 				t.Errorf("token %d: got two leaders, want one", token)
 			}
@@ -263,15 +264,15 @@
 	}
 }
 
-func TestStoreThroughAPeer(t *testing.T) {
+func TestStoreRelay(t *testing.T) {
 	store := table.NewMemory()
-	processes := three(t, store)
-	leaderOf(t, 0, processes...)
+	processes := startThree(t, store)
+	waitForLeader(t, 0, processes...)
 	cut := processes[0]
-	for end := time.Now().Add(patience); len(cut.node.Peers()) < 2 && time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); len(cut.node.Peers()) < 2 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	cut.gate.set(true)
+	cut.blockableStore.setBlocked(true)
 	ctx := context.Background()
 	if err := cut.node.Store().Commit(ctx, table.Txn{Writes: []table.Write{{Key: "t/p/k", Value: []byte("v")}}}); err != nil {
 		t.Fatalf("commit: got %v, want done through a peer", err)
@@ -285,21 +286,22 @@
 		t.Errorf("commit under a condition that fails: got %v, want a conflict", err)
 	}
 	for _, p := range processes {
-		p.gate.set(true)
+		p.blockableStore.setBlocked(true)
 	}
 	if err := cut.node.Store().Commit(ctx, table.Txn{}); !errors.Is(err, table.ErrUnavailable) {
-		t.Errorf("commit with the store away for all: got %v, want unavailable", err)
+		t.Errorf("commit while no process reaches the store: got %v, want unavailable", err)
 	}
 }
 
-// A process that the store turns away does not lead, not even through peers.
-func TestOnlyProcessesWithTheStoreLead(t *testing.T) {
+// A process that can't reach the store directly doesn't lead, not even through
+// peers.
+func TestLeaderNeedsStore(t *testing.T) {
 	store := table.NewMemory()
 	cut := newProcess(t, "a", store)
-	cut.gate.set(true)
+	cut.blockableStore.setBlocked(true)
 	other := newProcess(t, "b", store)
-	leaderOf(t, 0, other)
-	if got := cut.newest(); got != 0 {
+	waitForLeader(t, 0, other)
+	if got := cut.latestToken(); got != 0 {
 		t.Errorf("token of the process without the store: got %d, want none", got)
 	}
 }
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -12,9 +12,9 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// Fleet is the leader's part in this process, as far as others ask for it.
+// Fleet is the local fleet leader, as the other processes call it.
 type Fleet interface {
-	// Leading reports whether the part runs and knows all jobs.
+	// Leading reports whether this process leads and has loaded all jobs.
 	Leading() bool
 	Accept(submissions [][]byte) bool
 	Cancel(id job.ID) bool
@@ -28,16 +28,17 @@
 	NewerThan(have uint64) (version uint64, value []byte)
 }
 
-// ServiceConfig is what a Service is built from.
+// ServiceConfig configures a Service.
 type ServiceConfig struct {
 	Node   *Node
 	Fleet  Fleet
 	Policy PolicyHolder
-	// Hint is told of versions that another process has; it must return at once.
+	// OnPolicyHint is called when another process announces the version of its
+	// configuration; it must return at once.
 	OnPolicyHint func(version uint64, from record.Member)
 }
 
-// Service answers the other processes.
+// Service handles the calls of the other processes.
 type Service struct {
 	config ServiceConfig
 }
@@ -49,13 +50,13 @@
 
 // Hello implements memberpb.Member.
 func (s *Service) Hello(_ context.Context, view *memberpb.View) (*memberpb.View, error) {
-	s.config.Node.takeView(view)
+	s.config.Node.applyView(view)
 	return s.config.Node.view(), nil
 }
 
 // Lead implements memberpb.Member.
 func (s *Service) Lead(_ context.Context, request *memberpb.LeadRequest) (*memberpb.LeadReply, error) {
-	if !s.config.Node.asked(request.Token) {
+	if !s.config.Node.acceptTakeover(request.Token) {
 		return nil, twirp.NewError(twirp.Unavailable, "this process is stopping, too")
 	}
 	return &memberpb.LeadReply{}, nil
@@ -106,8 +107,8 @@
 	return &memberpb.LeadReply{}, nil
 }
 
-// Get implements memberpb.Member: the store as this process reaches it, and no
-// other process's relay.
+// Get implements memberpb.Member. It calls the store directly: a relayed call is
+// not relayed again.
 func (s *Service) Get(ctx context.Context, request *memberpb.GetRequest) (*memberpb.RowsReply, error) {
 	rows, err := s.config.Node.config.Store.Get(ctx, request.Keys...)
 	return s.rows(rows, err)
@@ -120,7 +121,7 @@
 }
 
 func (s *Service) rows(rows []table.Row, err error) (*memberpb.RowsReply, error) {
-	s.config.Node.noteStore(err)
+	s.config.Node.observeStore(err)
 	if errors.Is(err, table.ErrUnavailable) {
 		return &memberpb.RowsReply{Unavailable: true}, nil
 	}
