--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -1,24 +1,26 @@
-// Package pool keeps each host in exactly one pool, also while it moves or is
-// maintained.
+// Package pool assigns each host to exactly one pool, including while the host
+// moves between pools or is under maintenance.
 //
-// A host's assignment is one row of the table, which names one pool and has an
-// epoch that grows with every change. A host changes its pool only after every
-// entry has confirmed the epoch of its drain with nothing in flight there, or
-// is proven gone and its longest run is over; the change is a commit on
-// condition of the row's version, so of two managers one wins.
+// A host's assignment is one row of the table. The row names one pool and has
+// an epoch that increases with every change. A host changes its pool only after
+// every entry has confirmed the epoch of the drain with nothing in flight on the
+// host, or is known to have ended and the longest run time has passed since.
+// The change is committed on condition of the row's version, so when two
+// managers change a row concurrently only one of them succeeds.
 //
 // # Usage
 //
-// The functions are pure: read the row, compute the next assignment, commit it
-// on condition of the version that was read.
+// The functions on assignments are pure: read the row, compute the next
+// assignment, and commit it on condition of the version that was read.
 //
 //	next, err := pool.Drain(current, pool.Move, "bait")
 //	...
-//	if pool.Quiet(current, members, confirmations) {
-//		next, err = pool.Settle(current)
+//	if drains.IsDrained(now, current, senders, gone, longestRun) {
+//		next, err = pool.CompleteDrain(current)
 //	}
 //
-// A Planner decides which moves to start. It is stepped with what was observed:
+// A Planner decides which moves to start. Each step takes the newest
+// observations:
 //
 //	planner := pool.NewPlanner(pool.PlannerConfig{Spare: "spare", Weights: weights})
 //	plan := planner.Step(now, pool.View{Pools: pools, Hosts: hosts, Observed: at, MoveTime: p90})
@@ -36,26 +38,26 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// KeyPrefix starts the key of every assignment row.
+// KeyPrefix is the prefix of the keys of assignment rows.
 const KeyPrefix = "pool/host/"
 
-// Key returns the key of the host's row.
+// Key returns the key of a host's assignment row.
 func Key(host string) string { return KeyPrefix + host }
 
-// Phase is where an assignment stands.
+// Phase is the state of an assignment.
 type Phase string
 
 // Phases of an assignment.
 const (
-	// Serving hosts take work of their pool.
+	// Serving hosts accept work of their pool.
 	Serving Phase = "serving"
-	// Draining hosts take no new work; what runs there ends undisturbed.
+	// Draining hosts accept no new work; running work may finish.
 	Draining Phase = "draining"
-	// Drained hosts run nothing: the platform may reboot them.
+	// Drained hosts run nothing, so the platform may reboot them.
 	Drained Phase = "drained"
 )
 
-// Purpose is why a host drains.
+// Purpose is the reason for a drain.
 type Purpose string
 
 // Purposes of a drain.
@@ -64,19 +66,19 @@
 	Maintenance Purpose = "maintenance"
 )
 
-// Assignment is the value of a host's row.
+// Assignment is the value of a host's assignment row.
 type Assignment struct {
 	Host  string `json:"host"`
 	Pool  string `json:"pool"`
 	Epoch uint64 `json:"epoch"`
 	Phase Phase  `json:"phase"`
-	// Purpose and Target are set unless the host serves; Target is the pool
-	// that it serves next.
+	// Purpose and Target are set unless the phase is Serving. Target is the
+	// pool that the host serves after the drain.
 	Purpose Purpose `json:"purpose,omitempty"`
 	Target  string  `json:"target,omitempty"`
 }
 
-// PhaseError means that an assignment does not allow a step.
+// PhaseError reports a step that the assignment's phase does not allow.
 type PhaseError struct {
 	Host  string
 	Step  string
@@ -88,12 +90,13 @@
 	return fmt.Sprintf("host %q is %s and does not allow the step %q", e.Host, e.Phase, e.Step)
 }
 
-// Assign returns the first assignment of a host that has no row.
+// Assign returns the initial assignment of a host that has no row yet.
 func Assign(host, pool string) Assignment {
 	return Assignment{Host: host, Pool: pool, Epoch: 1, Phase: Serving}
 }
 
-// Drain returns the assignment of a host that takes no new work from now on.
+// Drain returns the assignment that starts draining a serving host. Target is
+// ignored for maintenance, after which the host stays in its pool.
 func Drain(a Assignment, purpose Purpose, target string) (Assignment, error) {
 	if a.Phase != Serving {
 		return a, &PhaseError{Host: a.Host, Step: "drain", Phase: a.Phase}
@@ -107,9 +110,10 @@
 	}, nil
 }
 
-// Settle returns the assignment of a draining host that runs nothing any more:
-// a moving host serves its target pool, one in maintenance is Drained.
-func Settle(a Assignment) (Assignment, error) {
+// CompleteDrain returns the assignment of a draining host that no longer runs
+// anything: a moving host serves its target pool, a host under maintenance is
+// Drained.
+func CompleteDrain(a Assignment) (Assignment, error) {
 	if a.Phase != Draining {
 		return a, &PhaseError{Host: a.Host, Step: "settle", Phase: a.Phase}
 	}
@@ -122,7 +126,7 @@
 }
 
 // Return returns the assignment of a host that serves its pool again, after
-// maintenance or because its drain was called off.
+// maintenance or because its drain was cancelled.
 func Return(a Assignment) (Assignment, error) {
 	if a.Phase == Serving {
 		return a, &PhaseError{Host: a.Host, Step: "return", Phase: a.Phase}
@@ -130,7 +134,7 @@
 	return Assignment{Host: a.Host, Pool: a.Pool, Epoch: a.Epoch + 1, Phase: Serving}, nil
 }
 
-// Decode reads a row's value.
+// Decode decodes the assignment in a row.
 func Decode(row table.Row) (Assignment, error) {
 	var a Assignment
 	if err := json.Unmarshal(row.Value, &a); err != nil {
@@ -139,8 +143,9 @@
 	return a, nil
 }
 
-// Change returns the transaction that replaces the row as read by next.
-func Change(row table.Row, next Assignment) (table.Txn, error) {
+// UpdateTxn returns the transaction that stores next in the row, on condition
+// that the row still has the version that was read.
+func UpdateTxn(row table.Row, next Assignment) (table.Txn, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return table.Txn{}, errors.Wrapf(err, "encode row %q", row.Key)
--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -9,12 +9,12 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// BenchmarkAssignments reads all hosts' rows, as every process does at each
-// poll.
+// BenchmarkAssignments scans and decodes the rows of all hosts, as every process
+// does at each poll.
 func BenchmarkAssignments(b *testing.B) {
 	for _, hosts := range []int{50, 200, 600, 1700} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
-			store, size := assigned(b, hosts)
+			store, size := newTable(b, hosts)
 			b.ReportAllocs()
 			for b.Loop() {
 				rows, err := store.Scan(context.Background(), pool.KeyPrefix)
@@ -32,13 +32,14 @@
 	}
 }
 
-// assigned returns a table with so many hosts' rows, and the rows' bytes.
-func assigned(b *testing.B, hosts int) (store *table.Memory, size int) {
+// newTable returns a table with the assignment rows of the given number of
+// hosts, and the size of these rows in bytes.
+func newTable(b *testing.B, hosts int) (store *table.Memory, size int) {
 	b.Helper()
 	store = table.NewMemory()
 	for i := range hosts {
 		host := fmt.Sprintf("worker-%04d", i)
-		txn, err := pool.Change(table.Row{Key: pool.Key(host)}, pool.Assign(host, fmt.Sprintf("pool-%02d", i%27)))
+		txn, err := pool.UpdateTxn(table.Row{Key: pool.Key(host)}, pool.Assign(host, fmt.Sprintf("pool-%02d", i%27)))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/pool/drain.go
+++ b/internal/pool/drain.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Sender is a process that may send work to hosts: one incarnation of an entry
+// Sender is a process that may send work to hosts: one incarnation of an entry,
 // or of a manager that places tasks.
 type Sender struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Confirmation is what a sender says of a host: the newest epoch that it obeys,
-// and its requests there that may still run.
+// Confirmation is a sender's report about a host: the newest assignment epoch
+// that the sender applies, and how many of its requests may still run there.
 type Confirmation struct {
 	Epoch    uint64
 	InFlight int
 }
 
-// Drains collects what is needed to call a host's drain complete. It is not
-// safe for concurrent use.
-type Drains struct {
+// DrainTracker collects confirmations and reports when a host's drain is
+// complete. It is not safe for concurrent use.
+type DrainTracker struct {
 	confirmed map[string]map[Sender]Confirmation
-	// goneSince is when a sender was first known to have ended.
+	// goneSince is the time at which a sender was first observed to have ended.
 	goneSince map[Sender]time.Time
 }
 
-// NewDrains returns a collection without confirmations.
-func NewDrains() *Drains {
-	return &Drains{
+// NewDrainTracker returns a DrainTracker without confirmations.
+func NewDrainTracker() *DrainTracker {
+	return &DrainTracker{
 		confirmed: make(map[string]map[Sender]Confirmation),
 		goneSince: make(map[Sender]time.Time),
 	}
 }
 
-// Confirm takes a sender's word on a host; older epochs change nothing.
-func (d *Drains) Confirm(host string, sender Sender, c Confirmation) {
+// Confirm records a sender's confirmation for a host. Confirmations of older
+// epochs are ignored.
+func (d *DrainTracker) Confirm(host string, sender Sender, c Confirmation) {
 	bySender, ok := d.confirmed[host]
 	if !ok {
 		bySender = make(map[Sender]Confirmation)
@@ -45,28 +46,28 @@
 	bySender[sender] = c
 }
 
-// Quiet reports whether nothing runs at the draining host and nothing will be
-// sent there: each of the senders has confirmed the drain's epoch with nothing
-// in flight. A sender that the roster dropped may have left work behind, which
-// ends within the longest run.
-func (d *Drains) Quiet(now time.Time, a Assignment, senders, gone []Sender, longestRun time.Duration) bool {
+// IsDrained reports whether nothing runs on the draining host and nothing will
+// be sent to it: each of the senders has confirmed the epoch of the drain with
+// nothing in flight. Senders in gone have left the roster, but their work may
+// still run for up to longestRun.
+func (d *DrainTracker) IsDrained(now time.Time, a Assignment, senders, gone []Sender, longestRun time.Duration) bool {
 	for _, sender := range senders {
 		c, ok := d.confirmed[a.Host][sender]
 		if !ok || c.Epoch < a.Epoch || c.InFlight > 0 {
 			return false
 		}
 	}
-	quiet := true
+	drained := true
 	for _, sender := range gone {
 		since, ok := d.goneSince[sender]
 		if !ok {
 			since = now
 			d.goneSince[sender] = now
 		}
-		quiet = quiet && now.Sub(since) >= longestRun
+		drained = drained && now.Sub(since) >= longestRun
 	}
-	return quiet
+	return drained
 }
 
-// Forget drops what was collected on a host whose drain has ended.
-func (d *Drains) Forget(host string) { delete(d.confirmed, host) }
+// Forget drops the confirmations for a host whose drain has ended.
+func (d *DrainTracker) Forget(host string) { delete(d.confirmed, host) }
--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// An assignment that decodes keeps its meaning when it is written and read
-// again, and every step from it raises the epoch.
+// FuzzDecode checks that an assignment that decodes is unchanged after encoding
+// and decoding it again, and that every step from it increases the epoch by one.
 func FuzzDecode(f *testing.F) {
 	for _, value := range []string{
 		``, `{}`, `null`, `[]`, `{"epoch":-1}`, `{"host":"h","pool":"a","epoch":1,"phase":"serving"}`,
@@ -22,7 +22,7 @@
 		if err != nil {
 			return
 		}
-		txn, err := pool.Change(table.Row{Key: "pool/host/h", Version: 1}, want)
+		txn, err := pool.UpdateTxn(table.Row{Key: "pool/host/h", Version: 1}, want)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,12 +31,12 @@
 			t.Errorf("got %+v, %v, want %+v", got, err, want)
 		}
 		drained, drainErr := pool.Drain(want, pool.Move, "b")
-		settled, settleErr := pool.Settle(want)
+		completed, completeErr := pool.CompleteDrain(want)
 		returned, returnErr := pool.Return(want)
 		steps := map[string]struct {
 			next pool.Assignment
 			err  error
-		}{"drain": {drained, drainErr}, "settle": {settled, settleErr}, "return": {returned, returnErr}}
+		}{"drain": {drained, drainErr}, "settle": {completed, completeErr}, "return": {returned, returnErr}}
 		for name, step := range steps {
 			if step.err == nil && step.next.Epoch != want.Epoch+1 {
 				t.Errorf("%s: got epoch %d, want %d", name, step.next.Epoch, want.Epoch+1)
--- a/internal/pool/view.go
+++ b/internal/pool/observation.go
@@ -6,55 +6,58 @@
 	"time"
 )
 
-// HostView is a host as the planner sees it.
+// HostView describes a host to the planner.
 type HostView struct {
 	Name       string `json:"name"`
 	Rack       string `json:"rack"`
 	DataCentre string `json:"data-centre"`
-	// Pool is the pool that the host serves, or leaves when Target is set.
+	// Pool is the pool that the host serves, or leaves if Target is set.
 	Pool string `json:"pool"`
 	// Target is the pool that a moving host serves next.
 	Target string `json:"target,omitempty"`
-	// Down hosts have failed or are in maintenance.
+	// Down is set while the host has failed or is under maintenance.
 	Down bool `json:"down,omitempty"`
 }
 
-// rack names the host's rack across data centres.
+// rack returns a name of the host's rack that is unique across data centres.
 func (h HostView) rack() string { return h.DataCentre + "/" + h.Rack }
 
-// Observation is a pool as observed.
+// Observation describes the observed state of a pool.
 type Observation struct {
 	Name string `json:"name"`
 	// Load is the number of hosts that the arriving work keeps busy.
 	Load float64 `json:"load"`
-	// Backlog is the time that one host would take for the work that waits.
+	// Backlog is the time that one host would need for the waiting work.
 	Backlog time.Duration `json:"backlog"`
-	// Minimum is the number of serving hosts that the availability budget asks
-	// for after the loss of the pool's largest rack.
+	// Minimum is the number of serving hosts that the availability budget
+	// requires after the loss of the pool's largest rack.
 	Minimum int `json:"minimum"`
-	// Maintaining is the number of hosts that wait for maintenance or are in it.
+	// Maintaining is the number of hosts that are waiting for maintenance or
+	// under maintenance.
 	Maintaining int `json:"maintaining,omitempty"`
 }
 
-// View is what the planner decides from. Hosts of pools that are not listed
-// are left alone.
+// View is the input of Planner.Step. Hosts of pools that are not listed are
+// ignored.
 type View struct {
 	Pools []Observation
 	Hosts []HostView
-	// Observed is when the loads were measured.
+	// Observed is the time at which the loads were measured.
 	Observed time.Time
-	// MoveTime is how long a drain and the change of the pool take, at the
-	// 90th percentile.
+	// MoveTime is the 90th percentile of the time that a move takes, from the
+	// start of the drain to the change of the pool.
 	MoveTime time.Duration
 }
 
-// members are the hosts of one pool during a step.
+// members holds the hosts of one pool during a step.
 type members struct {
 	serving []HostView
-	// incoming hosts are on their way into the pool.
+	// incoming is the number of hosts that are moving into the pool.
 	incoming int
-	racks    map[string]int
-	centres  map[string]int
+	// racks and centres count the serving and incoming hosts of each rack and
+	// data centre.
+	racks   map[string]int
+	centres map[string]int
 }
 
 func newMembers() *members {
@@ -63,21 +66,21 @@
 
 func (m *members) count() int { return len(m.serving) + m.incoming }
 
-// join counts a host that serves the pool or is on its way into it.
-func (m *members) join(h HostView, n int) {
+// addToSpread adds n to the counts of the host's rack and data centre.
+func (m *members) addToSpread(h HostView, n int) {
 	m.racks[h.rack()] += n
 	m.centres[h.DataCentre] += n
 }
 
-// leave removes a serving host.
-func (m *members) leave(h HostView) {
+// removeServing removes a serving host.
+func (m *members) removeServing(h HostView) {
 	m.serving = slices.DeleteFunc(m.serving, func(s HostView) bool { return s.Name == h.Name })
-	m.join(h, -1)
+	m.addToSpread(h, -1)
 }
 
-// survivors is the number of serving hosts after the loss of the largest rack,
-// without the host that is left out.
-func (m *members) survivors(without string) int {
+// survivingRackLoss returns the number of serving hosts, other than the excluded
+// one, that remain after the loss of the largest rack.
+func (m *members) survivingRackLoss(without string) int {
 	racks, serving, largest := make(map[string]int), 0, 0
 	for _, h := range m.serving {
 		if h.Name == without {
@@ -90,8 +93,8 @@
 	return serving - largest
 }
 
-// group sorts the hosts by pool.
-func group(view View, spare string) map[string]*members {
+// groupByPool groups the hosts that are up by the pool they serve or move into.
+func groupByPool(view View, spare string) map[string]*members {
 	out := map[string]*members{spare: newMembers()}
 	for _, p := range view.Pools {
 		out[p.Name] = newMembers()
@@ -101,7 +104,7 @@
 		if !ok || h.Down {
 			continue
 		}
-		m.join(h, 1)
+		m.addToSpread(h, 1)
 		if h.Target == "" {
 			m.serving = append(m.serving, h)
 		} else {
@@ -114,10 +117,10 @@
 	return out
 }
 
-// choose returns the host of the giving pool whose move leaves both pools best
-// spread: it comes from the rack and data centre where the taking pool has the
-// fewest hosts and then the giving pool the most.
-func choose(from, to *members, allowed func(HostView) bool) (HostView, bool) {
+// chooseHost returns the allowed host whose move leaves both pools best spread
+// over racks and data centres: a host from where the receiving pool has the
+// fewest hosts and then the donor has the most.
+func chooseHost(from, to *members, allowed func(HostView) bool) (HostView, bool) {
 	candidates := slices.DeleteFunc(slices.Clone(from.serving), func(h HostView) bool { return !allowed(h) })
 	if len(candidates) == 0 {
 		return HostView{}, false
--- a/internal/pool/planner.go
+++ b/internal/pool/planner.go
@@ -6,24 +6,27 @@
 	"time"
 )
 
-// Reason says why a move starts.
+// Reason is the reason for a move.
 type Reason string
 
-// Reasons of a move, the most pressing first.
+// Reasons for a move, the most urgent first.
 const (
-	// ReasonMinimum: the pool has fewer hosts than its availability budget asks.
+	// ReasonMinimum: the pool has fewer hosts than its availability budget
+	// requires.
 	ReasonMinimum Reason = "below-minimum"
-	// ReasonLoad: observed load and backlog exceed the pool.
+	// ReasonLoad: the observed load and backlog exceed the pool's capacity.
 	ReasonLoad Reason = "load"
 	// ReasonForecast: a burst is expected by the time the host arrives.
 	ReasonForecast Reason = "forecast"
-	// ReasonMaintenance: hosts are lent so that a wave goes on faster.
+	// ReasonMaintenance: the pool gets a spare host so that its maintenance wave
+	// finishes sooner.
 	ReasonMaintenance Reason = "maintenance"
-	// ReasonSurplus: the host was not needed for long and goes to the spare pool.
+	// ReasonSurplus: the host was not needed for the hold time and returns to
+	// the spare pool.
 	ReasonSurplus Reason = "surplus"
 )
 
-// PlannedMove is one move to start.
+// PlannedMove is a move to start.
 type PlannedMove struct {
 	Host   string `json:"host"`
 	From   string `json:"from"`
@@ -31,36 +34,37 @@
 	Reason Reason `json:"reason"`
 }
 
-// Standing is how the planner sees a pool, for dumps.
-type Standing struct {
+// Status describes a pool's capacity and forecast, for dumps.
+type Status struct {
 	Name     string `json:"name"`
 	Serving  int    `json:"serving"`
 	Incoming int    `json:"incoming"`
-	// Need is the number of hosts that load and backlog ask for now.
+	// Need is the number of hosts required for the current load, and at least
+	// the pool's minimum.
 	Need     int       `json:"need"`
 	Bursting bool      `json:"bursting"`
 	Forecast *Forecast `json:"forecast,omitempty"`
-	// Short pools are below their minimum and no host could be found.
+	// Short is set if the pool is below its minimum and no host was available.
 	Short bool `json:"short,omitempty"`
 }
 
-// Plan is the outcome of one step.
+// Plan is the result of Planner.Step.
 type Plan struct {
 	Moves []PlannedMove `json:"moves,omitempty"`
-	Pools []Standing    `json:"pools"`
-	// Stale means that the loads were too old to act upon: only moves for
-	// minimums start.
+	Pools []Status      `json:"pools"`
+	// Stale means that the observed loads were too old to act on, so that only
+	// moves to restore minimums start.
 	Stale bool `json:"stale,omitempty"`
 }
 
-// Weights say how much a deployment cares about each measure; only their
-// ratios matter. All zero means all equal.
+// Weights are the relative weights of the planner's objectives in a deployment.
+// Only their ratios matter. All zero means equal weights.
 type Weights struct {
 	BufferCost, Moves, ShareNearness, RollOutTime float64
 }
 
-// normal scales the weights to a mean of one.
-func (w Weights) normal() Weights {
+// normalise returns the weights scaled to a mean of one.
+func (w Weights) normalise() Weights {
 	sum := w.BufferCost + w.Moves + w.ShareNearness + w.RollOutTime
 	if sum <= 0 {
 		return Weights{1, 1, 1, 1}
@@ -69,15 +73,15 @@
 	return Weights{w.BufferCost * f, w.Moves * f, w.ShareNearness * f, w.RollOutTime * f}
 }
 
-// Exchange rates between the measures at equal weights.
+// Costs in idle time of one host, at equal weights.
 const (
-	// moveCost is the idle time of one host that is as bad as a move.
+	// moveCost is the idle time that costs as much as one move.
 	moveCost = 30 * time.Second
-	// lateCost is the idle time that is as bad as the same time of late work.
+	// lateCost is the idle seconds that cost as much as one second of late work.
 	lateCost = 20
-	// lentValue is the idle time that the first host lent to a wave is worth.
-	lentValue = 2 * moveCost
-	// minWeight keeps a measure that counts for nothing from dividing by zero.
+	// lendingValue is the value of the first host lent to a wave.
+	lendingValue = 2 * moveCost
+	// minWeight prevents a division by zero when a weight is zero.
 	minWeight = 0.05
 )
 
@@ -86,98 +90,99 @@
 	DefaultUtilisation = 0.9
 	DefaultLag         = time.Second
 	DefaultStaleAfter  = 10 * time.Second
-	DefaultFirstBurst  = 15 * time.Second
-	DefaultPatience    = time.Second
+	DefaultBurstLength = 15 * time.Second
+	DefaultMaxWait     = time.Second
 )
 
-// PlannerConfig constructs a Planner; zero values take the defaults.
+// PlannerConfig configures a Planner. Zero values take the defaults.
 type PlannerConfig struct {
 	// Spare is the name of the spare pool.
 	Spare   string
 	Weights Weights
-	// Utilisation is the part of a host that load may fill, 0 to 1.
+	// Utilisation is the target utilisation of a host, 0 to 1.
 	Utilisation float64
-	// Lag is how far observed loads are behind.
+	// Lag is the delay of observed loads.
 	Lag time.Duration
-	// StaleAfter is the age of loads that are no longer acted upon.
+	// StaleAfter is the age from which observed loads are not acted on.
 	StaleAfter time.Duration
-	// FirstBurst is the length that is assumed of bursts before one was seen.
-	FirstBurst time.Duration
-	// Patience is how long work may wait before it is late. It lets a pool with
-	// fewer hosts than the load asks for carry a short burst.
-	Patience time.Duration
-	// Memory is what an earlier planner has learnt, empty for none.
-	Memory Memory
+	// BurstLength is the assumed length of a burst before any was observed.
+	BurstLength time.Duration
+	// MaxWait is how long work may wait before it is late. It allows a pool
+	// with fewer hosts than the load requires to absorb a short burst.
+	MaxWait time.Duration
+	// History holds the bursts that an earlier planner observed, if any.
+	History History
 }
 
-// Planner decides which hosts to move between pools and the spare pool. Each
-// move is weighed: the late work that it saves against the cost of the move
-// and of idle hosts. It is not safe for concurrent use.
+// Planner decides which hosts to move between pools and the spare pool. It
+// starts a move if the late work that the move prevents outweighs the cost of
+// the move and of idle hosts. It is not safe for concurrent use.
 type Planner struct {
-	config  PlannerConfig
-	weights Weights
-	rhythm  *rhythm
-	// needed holds each pool's needs within the hold time.
-	needed map[string][]neededAt
+	config       PlannerConfig
+	weights      Weights
+	burstPattern *burstPattern
+	// recentNeeds holds the needs of each pool within the hold time.
+	recentNeeds map[string][]needSample
 }
 
-// neededAt is a pool's need at a time.
-type neededAt struct {
+// needSample is the number of hosts that a pool needed at a time.
+type needSample struct {
 	at    time.Time
 	hosts int
 }
 
-// NewPlanner returns a planner that has observed nothing.
+// NewPlanner returns a planner that starts from the configured history.
 func NewPlanner(config PlannerConfig) *Planner {
 	config.Utilisation = cmp.Or(config.Utilisation, DefaultUtilisation)
 	config.Lag = cmp.Or(config.Lag, DefaultLag)
 	config.StaleAfter = cmp.Or(config.StaleAfter, DefaultStaleAfter)
-	config.FirstBurst = cmp.Or(config.FirstBurst, DefaultFirstBurst)
-	config.Patience = cmp.Or(config.Patience, DefaultPatience)
+	config.BurstLength = cmp.Or(config.BurstLength, DefaultBurstLength)
+	config.MaxWait = cmp.Or(config.MaxWait, DefaultMaxWait)
 	p := &Planner{
-		config: config, weights: config.Weights.normal(),
-		rhythm: newRhythm(), needed: make(map[string][]neededAt),
+		config: config, weights: config.Weights.normalise(),
+		burstPattern: newBurstPattern(), recentNeeds: make(map[string][]needSample),
 	}
-	p.rhythm.recall(config.Memory)
+	p.burstPattern.restore(config.History)
 	return p
 }
 
-// Step takes the newest observation and returns the moves to start now.
+// Step processes the newest observations and returns the moves to start now.
 func (p *Planner) Step(now time.Time, view View) Plan {
-	s := &step{planner: p, now: now, view: view, members: group(view, p.config.Spare)}
+	s := &step{planner: p, now: now, view: view, members: groupByPool(view, p.config.Spare)}
 	s.plan.Stale = now.Sub(view.Observed) > p.config.StaleAfter
 	for _, pool := range view.Pools {
-		s.take(pool)
+		s.record(pool)
 	}
-	s.forecasts = p.rhythm.forecast(now, p.config.Lag)
+	s.forecasts = p.burstPattern.forecast(now, p.config.Lag)
 	s.fillMinimums()
 	if !s.plan.Stale {
 		s.fillByValue()
-		s.release()
+		s.releaseSurplus()
 	}
-	s.describe()
+	s.addPoolStatuses()
 	return s.plan
 }
 
-// hold is how long a host stays in a pool that does not need it: until its
-// idle time has cost as much as a move, which is at most twice the cost of the
-// best choice with knowledge of the future.
-func (p *Planner) hold() time.Duration {
+// holdTime returns how long a host stays in a pool that does not need it: until
+// its idle time has cost as much as a move. The resulting cost is at most twice
+// that of the best choice with knowledge of the future.
+func (p *Planner) holdTime() time.Duration {
 	return time.Duration(float64(moveCost) * p.weights.Moves / max(minWeight, p.weights.BufferCost))
 }
 
-// moveValue is the cost of a move in idle seconds of a host.
+// moveValue returns the cost of a move in idle seconds of a host.
 func (p *Planner) moveValue() float64 {
 	return p.weights.Moves * moveCost.Seconds()
 }
 
-// lateValue is the cost of one second of late work in idle seconds of a host.
-// Work that waits is what keeps teams from their shares.
+// lateValue returns the cost of one second of late work in idle seconds of a
+// host. It grows with the weight of share nearness, because teams miss their
+// shares when their work waits.
 func (p *Planner) lateValue() float64 {
 	return lateCost * (1 + p.weights.ShareNearness) / 2
 }
 
-// need is the number of hosts for a load.
+// need returns the number of hosts required for a load.
 func (p *Planner) need(load float64) int {
 	return int(math.Ceil(load / p.config.Utilisation))
 }
--- a/internal/pool/planner_test.go
+++ b/internal/pool/planner_test.go
@@ -17,7 +17,7 @@
 	testMinimum  = 2
 )
 
-// fleet steps a planner over pools whose hosts move as planned.
+// fleet simulates pools whose hosts move as the planner decides.
 type fleet struct {
 	now     time.Time
 	planner *pool.Planner
@@ -28,7 +28,8 @@
 	plan    pool.Plan
 }
 
-// newFleet gives each queue the same hosts, spread over racks of four.
+// newFleet returns a fleet in which each queue has the same number of hosts,
+// spread over racks of four.
 func newFleet(weights pool.Weights, queues, hosts, spare int) *fleet {
 	f := &fleet{
 		now: time.Unix(1000, 0), arrives: make(map[string]time.Time),
@@ -55,7 +56,8 @@
 	return pool.View{Pools: f.pools, Hosts: slices.Clone(f.hosts), Observed: f.now, MoveTime: testMoveTime}
 }
 
-// step lets half a second pass, ends moves and starts the planned ones.
+// step advances the time by half a second, completes moves and starts the
+// planned ones.
 func (f *fleet) step() {
 	f.now = f.now.Add(500 * time.Millisecond)
 	for i, h := range f.hosts {
@@ -72,9 +74,10 @@
 	f.moves = append(f.moves, f.plan.Moves...)
 }
 
-// turns lets the queues burst one after the other, and returns the idle hosts
-// outside the spare pool and the load beyond the hosts, summed over the steps.
-func (f *fleet) turns(n int, burst float64, length time.Duration) (idle, late float64) {
+// rotateBursts gives the queues n bursts in turn. It returns the idle hosts
+// outside the spare pool and the load in excess of the serving hosts, each
+// summed over the steps.
+func (f *fleet) rotateBursts(n int, burst float64, length time.Duration) (idle, late float64) {
 	for i := range n * int(length/(500*time.Millisecond)) {
 		bursting := i / int(length/(500*time.Millisecond)) % len(f.pools)
 		for q := range f.pools {
@@ -112,8 +115,9 @@
 	return n
 }
 
-// survivors is what the loss of its largest rack leaves of a pool.
-func survivors(hosts []pool.HostView, name string) int {
+// survivingRackLoss returns the number of serving hosts that remain in a pool
+// after the loss of its largest rack.
+func survivingRackLoss(hosts []pool.HostView, name string) int {
 	racks, n, largest := make(map[string]int), 0, 0
 	for _, h := range hosts {
 		if h.Pool == name && h.Target == "" && !h.Down {
@@ -125,10 +129,11 @@
 	return n - largest
 }
 
-// Whatever is observed and fails, no move brings a pool below its minimum,
-// moves a host twice at a time or one that is down, and the plan depends on
-// nothing but what was observed.
-func TestPlannerKeepsTheRules(t *testing.T) {
+// TestPlannerInvariants checks under random loads and host failures that no move
+// brings a pool below its minimum or moves a host that is down or already
+// moving, and that a second planner with the same observations makes the same
+// plan.
+func TestPlannerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weight := rapid.Float64Range(0, 4)
 		weights := pool.Weights{
@@ -160,7 +165,7 @@
 	})
 }
 
-// beforeMoves returns the hosts as the planner saw them.
+// beforeMoves returns the hosts as they were before the planned moves.
 func beforeMoves(f *fleet) []pool.HostView {
 	hosts := slices.Clone(f.hosts)
 	for _, move := range f.plan.Moves {
@@ -171,23 +176,24 @@
 }
 
 func checkPlan(t *rapid.T, before []pool.HostView, f *fleet) {
-	seen := make(map[string]bool)
+	planned := make(map[string]bool)
 	for _, move := range f.plan.Moves {
 		i := slices.IndexFunc(before, func(h pool.HostView) bool { return h.Name == move.Host })
 		moving := before[i].Target != "" && f.arrives[move.Host].After(f.now.Add(testMoveTime))
-		if seen[move.Host] || moving || before[i].Down || move.From == move.To {
+		if planned[move.Host] || moving || before[i].Down || move.From == move.To {
 			t.Fatalf("got move %+v of host %+v, want none", move, before[i])
 		}
-		seen[move.Host] = true
+		planned[move.Host] = true
 		if move.From == "spare" {
 			continue
 		}
-		if got := survivors(f.hosts, move.From); got < testMinimum {
+		if got := survivingRackLoss(f.hosts, move.From); got < testMinimum {
 			t.Fatalf("%s after %+v: got %d hosts without its largest rack, want %d", move.From, move, got, testMinimum)
 		}
 	}
 }
 
+// TestPlannerHysteresis checks that fluctuating load causes few moves.
 func TestPlannerHysteresis(t *testing.T) {
 	tests := map[string]func(step int) float64{
 		"noise":             func(step int) float64 { return 5 + float64(step*7%5)/2 },
@@ -210,30 +216,31 @@
 	}
 }
 
-// Larger weights of a measure bring less of it.
-func TestPlannerFollowsWeights(t *testing.T) {
+// TestPlannerWeights checks that a larger weight of moves, idle hosts or late
+// work reduces each of them.
+func TestPlannerWeights(t *testing.T) {
 	run := func(w pool.Weights) (moves int, idle, late float64) {
 		f := newFleet(w, 4, 8, 8)
-		idle, late = f.turns(40, 14, 10*time.Second)
+		idle, late = f.rotateBursts(40, 14, 10*time.Second)
 		return len(f.moves), idle, late
 	}
 	equal := pool.Weights{BufferCost: 1, Moves: 1, ShareNearness: 1, RollOutTime: 1}
 	moves, idle, late := run(equal)
-	few, _, _ := run(pool.Weights{BufferCost: 1, Moves: 8, ShareNearness: 1, RollOutTime: 1})
-	_, lean, _ := run(pool.Weights{BufferCost: 8, Moves: 1, ShareNearness: 1, RollOutTime: 1})
-	_, _, prompt := run(pool.Weights{BufferCost: 1, Moves: 1, ShareNearness: 8, RollOutTime: 1})
-	if few >= moves {
-		t.Errorf("moves with a weight of 8: got %d, want less than %d", few, moves)
+	weightedMoves, _, _ := run(pool.Weights{BufferCost: 1, Moves: 8, ShareNearness: 1, RollOutTime: 1})
+	_, weightedIdle, _ := run(pool.Weights{BufferCost: 8, Moves: 1, ShareNearness: 1, RollOutTime: 1})
+	_, _, weightedLate := run(pool.Weights{BufferCost: 1, Moves: 1, ShareNearness: 8, RollOutTime: 1})
+	if weightedMoves >= moves {
+		t.Errorf("moves with a weight of 8: got %d, want less than %d", weightedMoves, moves)
 	}
-	if lean >= idle {
-		t.Errorf("idle hosts with a weight of 8: got %.0f, want less than %.0f", lean, idle)
+	if weightedIdle >= idle {
+		t.Errorf("idle hosts with a weight of 8: got %.0f, want less than %.0f", weightedIdle, idle)
 	}
-	if prompt > late {
-		t.Errorf("late work with a share weight of 8: got %.0f, want at most %.0f", prompt, late)
+	if weightedLate > late {
+		t.Errorf("late work with a share weight of 8: got %.0f, want at most %.0f", weightedLate, late)
 	}
 }
 
-func TestPlannerLendsToWaves(t *testing.T) {
+func TestPlannerMaintenanceMoves(t *testing.T) {
 	lent := func(rollOut float64) int {
 		f := newFleet(pool.Weights{BufferCost: 1, Moves: 1, ShareNearness: 1, RollOutTime: rollOut}, 2, 6, 8)
 		f.pools[0].Maintaining, f.pools[0].Load, f.pools[1].Load = 6, 5, 1
@@ -247,31 +254,32 @@
 	}
 }
 
-// A learnt order lets hosts arrive before the burst does.
-func TestPlannerForecasts(t *testing.T) {
+// TestPlannerForecastsBursts checks that hosts arrive before a burst once the
+// order of the bursts is known, also with the history of another planner.
+func TestPlannerForecastsBursts(t *testing.T) {
 	f := newFleet(pool.Weights{}, 4, 8, 8)
-	_, first := f.turns(4, 14, 10*time.Second)
-	f.turns(16, 14, 10*time.Second)
-	_, later := f.turns(4, 14, 10*time.Second)
+	_, first := f.rotateBursts(4, 14, 10*time.Second)
+	f.rotateBursts(16, 14, 10*time.Second)
+	_, later := f.rotateBursts(4, 14, 10*time.Second)
 	if got := f.count(pool.ReasonForecast); got == 0 {
 		t.Errorf("moves for expected bursts: got none, want some")
 	}
 	if later > first/3 {
 		t.Errorf("late work once the order is known: got %.0f, want at most a third of %.0f", later, first)
 	}
-	text, err := json.Marshal(f.planner.Memory())
+	text, err := json.Marshal(f.planner.History())
 	if err != nil {
 		t.Fatal(err)
 	}
 	config := pool.PlannerConfig{Spare: "spare"}
-	if err := json.Unmarshal(text, &config.Memory); err != nil {
+	if err := json.Unmarshal(text, &config.History); err != nil {
 		t.Fatal(err)
 	}
-	heir := newFleet(pool.Weights{}, 4, 8, 8)
-	heir.planner = pool.NewPlanner(config)
-	heir.turns(1, 14, 10*time.Second)
-	if _, got := heir.turns(4, 14, 10*time.Second); got > first/2 {
-		t.Errorf("late work with the memory of another planner: got %.0f, want at most half of %.0f", got, first)
+	restored := newFleet(pool.Weights{}, 4, 8, 8)
+	restored.planner = pool.NewPlanner(config)
+	restored.rotateBursts(1, 14, 10*time.Second)
+	if _, got := restored.rotateBursts(4, 14, 10*time.Second); got > first/2 {
+		t.Errorf("late work with the history of another planner: got %.0f, want at most half of %.0f", got, first)
 	}
 }
 
@@ -287,7 +295,7 @@
 				}
 			},
 			want: func(f *fleet) string {
-				if f.count(pool.ReasonMinimum) == 0 || survivors(f.hosts, "queue-0") < testMinimum {
+				if f.count(pool.ReasonMinimum) == 0 || survivingRackLoss(f.hosts, "queue-0") < testMinimum {
 					return "a pool at its minimum"
 				}
 				return ""
@@ -331,8 +339,8 @@
 	}
 }
 
-// Hosts go where they spread the pool over racks and data centres.
-func TestPlannerSpreads(t *testing.T) {
+// TestPlannerSpreadsHosts checks that moved hosts spread a pool over racks.
+func TestPlannerSpreadsHosts(t *testing.T) {
 	f := newFleet(pool.Weights{}, 1, 4, 12)
 	f.pools[0].Load = 7
 	for range 30 {
--- a/internal/pool/world_test.go
+++ b/internal/pool/simulation_test.go
@@ -20,33 +20,34 @@
 	steps      = 500
 )
 
-// rules are the parts of the mechanism; a mutation takes one out.
-type rules struct {
+// safeguards are the conditions that protect a move. A mutation removes one.
+type safeguards struct {
 	rowVersion, rosterVersion, confirmations, longestRun bool
 }
 
-var allRules = rules{true, true, true, true}
+var allSafeguards = safeguards{true, true, true, true}
 
-// world is one host, entries that send work to it, and managers that move it.
-// It is the oracle too: work is what really runs.
-type world struct {
-	random   *rand.Rand
-	rules    rules
-	now      time.Time
-	store    *table.Memory
-	next     uint64
-	entries  []*sender
-	members  []pool.Sender
-	gone     []pool.Sender
-	managers []*manager
-	messages []func()
-	work     map[int]work
-	workID   int
-	counts   map[string]int
-	broken   string
+// simulation simulates one host, entries that send work to it, and managers that
+// move it between pools. It is also the oracle: work holds what really runs on
+// the host.
+type simulation struct {
+	random       *rand.Rand
+	safeguards   safeguards
+	now          time.Time
+	store        *table.Memory
+	incarnations uint64
+	entries      []*sender
+	members      []pool.Sender
+	gone         []pool.Sender
+	managers     []*manager
+	messages     []func()
+	work         map[int]work
+	workID       int
+	counts       map[string]int
+	violation    string
 }
 
-// sender is an entry with its view of the host.
+// sender is an entry with its view of the host's assignment.
 type sender struct {
 	id       pool.Sender
 	view     pool.Assignment
@@ -54,25 +55,25 @@
 	paused   bool
 }
 
-// work is one request that runs at the host.
+// work is one request that runs on the host.
 type work struct {
-	pool string
-	by   *sender
-	ends time.Time
+	pool   string
+	sentBy *sender
+	ends   time.Time
 }
 
-// manager acts on rows that it read some time ago.
+// manager acts on rows that it read some time ago and that may be stale.
 type manager struct {
-	drains  *pool.Drains
+	drains  *pool.DrainTracker
 	row     table.Row
 	roster  table.Row
 	members []pool.Sender
 	gone    []pool.Sender
 }
 
-func newWorld(seed uint64, rules rules) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 1)), rules: rules, now: time.Unix(1000, 0),
+func newSimulation(seed uint64, safeguards safeguards) *simulation {
+	w := &simulation{
+		random: rand.New(rand.NewPCG(seed, 1)), safeguards: safeguards, now: time.Unix(1000, 0),
 		store: table.NewMemory(), work: make(map[int]work), counts: make(map[string]int),
 	}
 	first, err := json.Marshal(pool.Assign(hostName, "a"))
@@ -81,15 +82,15 @@
 	}
 	w.commit(table.Txn{Writes: []table.Write{{Key: pool.Key(hostName), Value: first}, {Key: rosterRow}}})
 	for range 3 {
-		w.join()
+		w.addEntry()
 	}
 	for range 2 {
-		w.managers = append(w.managers, &manager{drains: pool.NewDrains()})
+		w.managers = append(w.managers, &manager{drains: pool.NewDrainTracker()})
 	}
 	return w
 }
 
-func (w *world) commit(txn table.Txn) bool {
+func (w *simulation) commit(txn table.Txn) bool {
 	w.store.SetFaults(table.Faults{LoseAnswers: w.random.IntN(10) == 0})
 	defer w.store.SetFaults(table.Faults{})
 	err := w.store.Commit(context.Background(), txn)
@@ -99,7 +100,7 @@
 	return err == nil
 }
 
-func (w *world) read(key string) table.Row {
+func (w *simulation) read(key string) table.Row {
 	rows, err := w.store.Get(context.Background(), key)
 	if err != nil {
 		panic(err)
@@ -107,7 +108,7 @@
 	return rows[0]
 }
 
-func (w *world) assignment() pool.Assignment {
+func (w *simulation) assignment() pool.Assignment {
 	a, err := pool.Decode(w.read(pool.Key(hostName)))
 	if err != nil {
 		panic(err)
@@ -115,18 +116,18 @@
 	return a
 }
 
-// join adds an entry: it enters the roster first and reads the row after.
-func (w *world) join() {
-	w.next++
-	e := &sender{id: pool.Sender{Name: "entry", Incarnation: w.next}}
+// addEntry adds an entry, which joins the roster before it reads the row.
+func (w *simulation) addEntry() {
+	w.incarnations++
+	e := &sender{id: pool.Sender{Name: "entry", Incarnation: w.incarnations}}
 	w.members = append(w.members, e.id)
 	w.commit(table.Txn{Writes: []table.Write{{Key: rosterRow}}})
 	e.view = w.assignment()
 	w.entries = append(w.entries, e)
 }
 
-// crash ends an entry; its work runs on, and the roster drops it.
-func (w *world) crash() {
+// crashEntry removes a random entry from the roster; its work continues to run.
+func (w *simulation) crashEntry() {
 	i := w.random.IntN(len(w.entries))
 	e := w.entries[i]
 	w.entries = slices.Delete(w.entries, i, i+1)
@@ -136,19 +137,20 @@
 	w.counts["crashes"]++
 }
 
-// send starts work if the entry's view lets it.
-func (w *world) send(e *sender) {
+// send starts work if the entry's view of the assignment allows it.
+func (w *simulation) send(e *sender) {
 	if e.view.Phase != pool.Serving || len(w.work) > 20 {
 		return
 	}
 	w.workID++
 	e.inFlight++
-	w.work[w.workID] = work{pool: e.view.Pool, by: e, ends: w.now.Add(w.duration(longestRun))}
+	w.work[w.workID] = work{pool: e.view.Pool, sentBy: e, ends: w.now.Add(w.duration(longestRun))}
 	w.counts["sent"]++
 }
 
-// look updates the entry's view and sends a confirmation, late and repeated.
-func (w *world) look(e *sender) {
+// refreshView updates the entry's view and queues confirmations, which may be
+// lost, repeated or delivered late.
+func (w *simulation) refreshView(e *sender) {
 	e.view = w.assignment()
 	confirmation := pool.Confirmation{Epoch: e.view.Epoch, InFlight: e.inFlight}
 	for _, m := range w.managers {
@@ -158,11 +160,11 @@
 	}
 }
 
-// act has a manager do something on the rows that it read last.
-func (w *world) act(m *manager) {
+// stepManager lets a manager read the rows, or act on those that it read last.
+func (w *simulation) stepManager(m *manager) {
 	if m.row.Version == table.Absent || w.random.IntN(3) == 0 {
 		m.row = w.read(pool.Key(hostName))
-		// The roster is polled apart and can be older than the row.
+		// The roster is polled separately and can be older than the row.
 		if m.roster.Version == table.Absent || w.random.IntN(15) == 0 {
 			m.roster, m.members, m.gone = w.read(rosterRow), w.members, w.gone
 		}
@@ -185,23 +187,23 @@
 			next, err = pool.Return(current)
 			break
 		}
-		if !w.quiet(m, current) {
+		if !w.isDrained(m, current) {
 			return
 		}
-		next, err = pool.Settle(current)
+		next, err = pool.CompleteDrain(current)
 		w.counts["moves"]++
 	}
 	if err != nil {
 		panic(err)
 	}
-	txn, err := pool.Change(m.row, next)
+	txn, err := pool.UpdateTxn(m.row, next)
 	if err != nil {
 		panic(err)
 	}
-	if w.rules.rosterVersion {
+	if w.safeguards.rosterVersion {
 		txn.Conditions = append(txn.Conditions, table.Condition{Key: rosterRow, Version: m.roster.Version})
 	}
-	if !w.rules.rowVersion {
+	if !w.safeguards.rowVersion {
 		txn.Conditions = txn.Conditions[1:]
 	}
 	if w.commit(txn) {
@@ -212,27 +214,27 @@
 	m.row = table.Row{}
 }
 
-func (w *world) quiet(m *manager, current pool.Assignment) bool {
-	if !w.rules.confirmations {
+func (w *simulation) isDrained(m *manager, current pool.Assignment) bool {
+	if !w.safeguards.confirmations {
 		return true
 	}
 	wait := longestRun
-	if !w.rules.longestRun {
+	if !w.safeguards.longestRun {
 		wait = 0
 	}
-	return m.drains.Quiet(w.now, current, m.members, m.gone, wait)
+	return m.drains.IsDrained(w.now, current, m.members, m.gone, wait)
 }
 
-func (w *world) duration(limit time.Duration) time.Duration {
+func (w *simulation) duration(limit time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
-// step does one random thing and lets the oracle judge.
-func (w *world) step() {
+// step performs one random action and checks the invariant.
+func (w *simulation) step() {
 	w.now = w.now.Add(w.duration(200 * time.Millisecond))
 	for id, work := range w.work {
 		if !work.ends.After(w.now) {
-			work.by.inFlight--
+			work.sentBy.inFlight--
 			delete(w.work, id)
 		}
 	}
@@ -245,7 +247,7 @@
 	case 3, 4, 5:
 		for _, e := range w.entries {
 			if !e.paused {
-				w.look(e)
+				w.refreshView(e)
 			}
 		}
 	case 6:
@@ -253,7 +255,7 @@
 		w.counts["pauses"]++
 	case 7:
 		for range min(len(w.messages), 4) {
-			// Mostly recent messages, now and then an old one again.
+			// Deliver recent messages, some of them repeatedly.
 			recent := min(len(w.messages), 20)
 			w.messages[len(w.messages)-1-w.random.IntN(recent)]()
 		}
@@ -261,43 +263,46 @@
 		switch w.random.IntN(12) {
 		case 0, 1:
 			if len(w.entries) < 5 {
-				w.join()
+				w.addEntry()
 			}
 		case 2:
 			if len(w.entries) > 2 {
-				w.crash()
+				w.crashEntry()
 			}
 		}
 	default:
-		w.act(w.managers[w.random.IntN(len(w.managers))])
+		w.stepManager(w.managers[w.random.IntN(len(w.managers))])
 	}
-	w.judge()
+	w.checkOwnership()
 }
 
-// judge finds work that runs at the host for another pool than the row's.
-func (w *world) judge() {
+// checkOwnership records a violation if work of a pool other than the row's runs
+// on the host.
+func (w *simulation) checkOwnership() {
 	owner := w.assignment().Pool
 	for _, work := range w.work {
 		if work.pool != owner {
-			w.broken = "work of pool " + work.pool + " runs at a host of pool " + owner
+			w.violation = "work of pool " + work.pool + " runs on a host of pool " + owner
 		}
 	}
 }
 
-func (w *world) run() string {
+func (w *simulation) run() string {
 	for range steps {
 		w.step()
-		if w.broken != "" {
-			return w.broken
+		if w.violation != "" {
+			return w.violation
 		}
 	}
 	return ""
 }
 
+// TestHostServesOnePool checks that a host never runs work of two pools, while
+// entries crash and pause, commits lose their answers and messages arrive late.
 func TestHostServesOnePool(t *testing.T) {
 	counts := make(map[string]int)
 	for seed := range uint64(runs) {
-		w := newWorld(seed, allRules)
+		w := newSimulation(seed, allSafeguards)
 		if got := w.run(); got != "" {
 			t.Fatalf("seed %d: got %s, want none", seed, got)
 		}
@@ -313,19 +318,21 @@
 	}
 }
 
-func TestOracleFindsMissingRules(t *testing.T) {
-	tests := map[string]func(*rules){
-		"row version":    func(r *rules) { r.rowVersion = false },
-		"roster version": func(r *rules) { r.rosterVersion = false },
-		"confirmations":  func(r *rules) { r.confirmations = false },
-		"longest run":    func(r *rules) { r.longestRun = false },
+// TestOracleDetectsMissingSafeguards checks that the simulation finds a
+// violation when any one safeguard is removed.
+func TestOracleDetectsMissingSafeguards(t *testing.T) {
+	tests := map[string]func(*safeguards){
+		"row version":    func(r *safeguards) { r.rowVersion = false },
+		"roster version": func(r *safeguards) { r.rosterVersion = false },
+		"confirmations":  func(r *safeguards) { r.confirmations = false },
+		"longest run":    func(r *safeguards) { r.longestRun = false },
 	}
 	for name, mutate := range tests {
 		t.Run(name, func(t *testing.T) {
-			mutated := allRules
+			mutated := allSafeguards
 			mutate(&mutated)
 			for seed := range uint64(runs) {
-				if got := newWorld(seed, mutated).run(); got != "" {
+				if got := newSimulation(seed, mutated).run(); got != "" {
 					t.Logf("seed %d: %s", seed, got)
 					return
 				}
--- a/internal/pool/step.go
+++ b/internal/pool/step.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// step is the state of one call of Step.
+// step holds the state of one call of Planner.Step.
 type step struct {
 	planner   *Planner
 	now       time.Time
@@ -18,37 +18,38 @@
 	plan      Plan
 }
 
-// take learns from the observation of a pool.
-func (s *step) take(pool Observation) {
+// record records a pool's load, unless it is stale, and its need.
+func (s *step) record(pool Observation) {
 	if s.needs == nil {
 		s.needs = make(map[string]int)
 	}
-	load := sane(pool.Load)
+	load := sanitiseLoad(pool.Load)
 	if !s.plan.Stale {
-		s.planner.rhythm.observe(s.view.Observed, pool.Name, load)
+		s.planner.burstPattern.observe(s.view.Observed, pool.Name, load)
 	}
 	need := max(s.planner.need(load), pool.Minimum)
 	s.needs[pool.Name] = need
-	recent := append(s.planner.needed[pool.Name], neededAt{at: s.now, hosts: need})
-	hold := s.planner.hold()
-	s.planner.needed[pool.Name] = slices.DeleteFunc(recent, func(n neededAt) bool { return s.now.Sub(n.at) > hold })
+	recent := append(s.planner.recentNeeds[pool.Name], needSample{at: s.now, hosts: need})
+	holdTime := s.planner.holdTime()
+	s.planner.recentNeeds[pool.Name] = slices.DeleteFunc(recent, func(n needSample) bool { return s.now.Sub(n.at) > holdTime })
 }
 
-// fillMinimums moves hosts into pools that a rack's loss would bring below
-// their minimum, whatever it costs.
+// fillMinimums moves hosts into pools that the loss of their largest rack would
+// bring below their minimum, regardless of cost.
 func (s *step) fillMinimums() {
 	for _, pool := range s.view.Pools {
 		m := s.members[pool.Name]
-		missing := pool.Minimum - m.survivors("") - m.incoming
+		missing := pool.Minimum - m.survivingRackLoss("") - m.incoming
 		for range missing {
-			if !s.start(pool.Name, ReasonMinimum) {
+			if !s.startMove(pool.Name, ReasonMinimum) {
 				break
 			}
 		}
 	}
 }
 
-// fillByValue starts the most valuable moves first, as long as they pay.
+// fillByValue starts moves in order of decreasing value, as long as the value
+// exceeds the cost of a move.
 func (s *step) fillByValue() {
 	closed := make(map[string]bool)
 	for {
@@ -64,29 +65,29 @@
 		if best == "" {
 			return
 		}
-		if !s.start(best, bestReason) {
+		if !s.startMove(best, bestReason) {
 			closed[best] = true
 		}
 	}
 }
 
-// start begins a move into the pool, if a host can be found.
-func (s *step) start(to string, reason Reason) bool {
+// startMove starts a move into the pool and reports whether a host was available.
+func (s *step) startMove(to string, reason Reason) bool {
 	for _, from := range s.donors(to, reason) {
 		minimum := s.minimum(from)
-		host, ok := choose(s.members[from], s.members[to], func(h HostView) bool {
-			return from == s.planner.config.Spare || s.members[from].survivors(h.Name) >= minimum
+		host, ok := chooseHost(s.members[from], s.members[to], func(h HostView) bool {
+			return from == s.planner.config.Spare || s.members[from].survivingRackLoss(h.Name) >= minimum
 		})
 		if ok {
-			s.move(host, to, reason)
+			s.recordMove(host, to, reason)
 			return true
 		}
 	}
 	return false
 }
 
-// donors returns the pools that may give a host: the spare pool first, then
-// those whose next burst is the furthest away.
+// donors returns the pools that may donate a host: the spare pool first, then
+// the others, those with the latest next burst first.
 func (s *step) donors(to string, reason Reason) []string {
 	out := []string{s.planner.config.Spare}
 	if reason == ReasonMaintenance {
@@ -94,13 +95,13 @@
 	}
 	var others []string
 	for _, pool := range s.view.Pools {
-		if pool.Name != to && s.mayGive(pool) {
+		if pool.Name != to && s.canDonate(pool) {
 			others = append(others, pool.Name)
 		}
 	}
 	slices.SortStableFunc(others, func(a, b string) int {
 		return cmp.Or(
-			s.nextUse(b).Compare(s.nextUse(a)),
+			s.nextBurst(b).Compare(s.nextBurst(a)),
 			cmp.Compare(s.members[b].count(), s.members[a].count()),
 			cmp.Compare(a, b),
 		)
@@ -108,21 +109,22 @@
 	return append(out, others...)
 }
 
-// mayGive reports whether a pool has a host beyond its need and expects no
-// burst before the host could be replaced.
-func (s *step) mayGive(pool Observation) bool {
+// canDonate reports whether a pool has more hosts than it needs and expects no
+// burst before a host could be replaced.
+func (s *step) canDonate(pool Observation) bool {
 	if len(s.members[pool.Name].serving) <= s.needs[pool.Name] || pool.Backlog > 0 {
 		return false
 	}
-	if b := s.planner.rhythm.byPool[pool.Name]; b != nil && b.bursting {
+	if b := s.planner.burstPattern.byPool[pool.Name]; b != nil && b.bursting {
 		return false
 	}
-	sure := s.forecasts[pool.Name].Confidence >= leastConfidence
-	return !sure || s.nextUse(pool.Name).Sub(s.now) > 2*s.view.MoveTime
+	sure := s.forecasts[pool.Name].Confidence >= minConfidence
+	return !sure || s.nextBurst(pool.Name).Sub(s.now) > 2*s.view.MoveTime
 }
 
-// nextUse is when a pool is expected to burst; far away when that is not known.
-func (s *step) nextUse(name string) time.Time {
+// nextBurst returns the expected start of a pool's next burst, or a time far in
+// the future if there is no forecast.
+func (s *step) nextBurst(name string) time.Time {
 	if f, ok := s.forecasts[name]; ok {
 		return f.Begins
 	}
@@ -138,37 +140,39 @@
 	return 0
 }
 
-// move records a move that starts now.
-func (s *step) move(host HostView, to string, reason Reason) {
-	s.members[host.Pool].leave(host)
-	s.members[to].join(host, 1)
+// recordMove adds a move to the plan and updates the members of both pools.
+func (s *step) recordMove(host HostView, to string, reason Reason) {
+	s.members[host.Pool].removeServing(host)
+	s.members[to].addToSpread(host, 1)
 	s.members[to].incoming++
 	s.plan.Moves = append(s.plan.Moves, PlannedMove{Host: host.Name, From: host.Pool, To: to, Reason: reason})
 }
 
-// release sends hosts to the spare pool that were not needed for the hold time
-// and will not be needed soon enough to be worth the wait.
-func (s *step) release() {
+// releaseSurplus moves hosts to the spare pool that were not needed for the hold
+// time and are not expected to be needed soon.
+func (s *step) releaseSurplus() {
 	for _, pool := range s.view.Pools {
 		keep := s.keep(pool)
 		m := s.members[pool.Name]
 		for m.count() > keep {
-			host, ok := choose(m, s.members[s.planner.config.Spare], func(h HostView) bool {
-				return m.survivors(h.Name) >= pool.Minimum
+			host, ok := chooseHost(m, s.members[s.planner.config.Spare], func(h HostView) bool {
+				return m.survivingRackLoss(h.Name) >= pool.Minimum
 			})
 			if !ok {
 				break
 			}
-			s.move(host, s.planner.config.Spare, ReasonSurplus)
+			s.recordMove(host, s.planner.config.Spare, ReasonSurplus)
 		}
 	}
 }
 
-// keep is the number of hosts that stay in a pool.
+// keep returns the number of hosts that must stay in a pool: its greatest
+// need within the hold time, the largest past burst if one is expected soon, and
+// the hosts to replace those under maintenance.
 func (s *step) keep(pool Observation) int {
-	history := s.planner.needed[pool.Name]
-	hold := s.planner.hold()
-	if len(history) == 0 || s.now.Sub(history[0].at) < hold-hold/8 || pool.Backlog > 0 {
+	history := s.planner.recentNeeds[pool.Name]
+	holdTime := s.planner.holdTime()
+	if len(history) == 0 || s.now.Sub(history[0].at) < holdTime-holdTime/8 || pool.Backlog > 0 {
 		return math.MaxInt
 	}
 	keep := 0
@@ -176,8 +180,8 @@
 		keep = max(keep, n.hosts)
 	}
 	f, ok := s.forecasts[pool.Name]
-	if ok && f.Begins.Sub(s.now) < 2*hold {
-		b := s.planner.rhythm.byPool[pool.Name]
+	if ok && f.Begins.Sub(s.now) < 2*holdTime {
+		b := s.planner.burstPattern.byPool[pool.Name]
 		keep = max(keep, s.planner.need(slices.Max(append([]float64{0}, b.levels...))))
 	}
 	if pool.Maintaining > 0 {
@@ -186,15 +190,15 @@
 	return keep
 }
 
-// describe fills the pools of the plan.
-func (s *step) describe() {
+// addPoolStatuses adds the status of each pool to the plan.
+func (s *step) addPoolStatuses() {
 	for _, pool := range s.view.Pools {
 		m := s.members[pool.Name]
-		entry := Standing{
+		entry := Status{
 			Name: pool.Name, Serving: len(m.serving), Incoming: m.incoming, Need: s.needs[pool.Name],
-			Short: m.survivors("")+m.incoming < pool.Minimum,
+			Short: m.survivingRackLoss("")+m.incoming < pool.Minimum,
 		}
-		if b := s.planner.rhythm.byPool[pool.Name]; b != nil {
+		if b := s.planner.burstPattern.byPool[pool.Name]; b != nil {
 			entry.Bursting = b.bursting
 		}
 		if f, ok := s.forecasts[pool.Name]; ok {
@@ -202,5 +206,5 @@
 		}
 		s.plan.Pools = append(s.plan.Pools, entry)
 	}
-	slices.SortFunc(s.plan.Pools, func(a, b Standing) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.plan.Pools, func(a, b Status) int { return cmp.Compare(a.Name, b.Name) })
 }
