--- a/internal/experiment/wavebench.go
+++ b/internal/experiment/wavebench.go
@@ -172,7 +172,7 @@
 func (b *waveBench) step(p *wavePool) {
 	view := p.view()
 	if !b.apart {
-		view.Elsewhere = b.elsewhere(p)
+		view.OtherPools = b.elsewhere(p)
 	}
 	serving := 0
 	for _, h := range view.Hosts {
--- a/internal/wave/host.go
+++ b/internal/wave/host.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// State is where a host stands in a wave.
+// State is the maintenance state of a host in a wave.
 type State string
 
 // States of a host.
 const (
 	// StatePending hosts serve and wait for maintenance.
 	StatePending State = "pending"
-	// StateDown hosts are in maintenance.
+	// StateDown hosts are under maintenance.
 	StateDown State = "down"
-	// StateDone hosts serve after maintenance.
+	// StateDone hosts have been maintained and serve again.
 	StateDone State = "done"
 	// StateFailed hosts did not come back from maintenance.
 	StateFailed State = "failed"
-	// StateLost hosts are down for another reason, before their maintenance.
+	// StateLost hosts went down for another reason before their maintenance.
 	StateLost State = "lost"
 )
 
@@ -28,8 +28,8 @@
 	Rack       string `json:"rack"`
 	DataCentre string `json:"data-centre"`
 	State      State  `json:"state"`
-	// Since is when the host entered its state; if it is zero, the wave takes
-	// the first step that saw it.
+	// Since is the time at which the host entered its state. If it is zero, the
+	// wave uses the time of the first step with the host in this state.
 	Since time.Time `json:"since,omitzero"`
 }
 
@@ -44,8 +44,8 @@
 	DataCentre Domain = "data-centre"
 )
 
-// of returns the host's domain of this kind.
-func (d Domain) of(h Host) string {
+// domainName returns the name of the host's failure domain of this kind.
+func (d Domain) domainName(h Host) string {
 	switch d {
 	case Rack:
 		return h.DataCentre + "/" + h.Rack
--- a/internal/wave/wave.go
+++ b/internal/wave/wave.go
@@ -1,16 +1,16 @@
 // Package wave decides which hosts of a pool to take down for maintenance.
 //
-// A wave takes down as many hosts at once as leaves the pool able to carry its
-// load even when its largest remaining failure domain is lost on top. Hosts
-// that failed, in the wave or outside it, count as down. A wave begins with a
-// few hosts and opens up when they came back. It stops when several of its hosts
-// fail within a short time, because a fault of the maintenance itself would take
-// down every host in turn.
+// A wave takes down as many hosts at once as possible while the pool can still
+// carry its load after the additional loss of its largest remaining failure
+// domain. Hosts that failed, in the wave or outside it, count as down. A wave
+// begins with a few canary hosts and continues with more once canaries have come
+// back. It stops when several of its hosts fail within a short time, because a
+// fault of the maintenance itself would take down every host in turn.
 //
 // # Usage
 //
-// A Wave is stepped with the state of its pool; it does no input or output and
-// is not safe for concurrent use:
+// Step computes the next decision from the state of the pool. A Wave does no
+// input or output and is not safe for concurrent use:
 //
 //	w := wave.New(wave.Config{Reserve: wave.Rack})
 //	decision := w.Step(now, wave.View{Hosts: hosts, Need: 6, BudgetLeft: 0.8})
@@ -26,35 +26,36 @@
 	"time"
 )
 
-// View is the state of the pool at one moment.
+// View is the state of the pool at the time of a step.
 type View struct {
 	Hosts []Host
-	// Need is the number of hosts that carry the pool's load.
+	// Need is the number of hosts required for the pool's load.
 	Need int
-	// BudgetLeft is the part of the availability budget that is not spent, 0 to 1.
+	// BudgetLeft is the unspent fraction of the availability budget, 0 to 1.
 	BudgetLeft float64
-	// Elsewhere is how the same maintenance went in other pools.
-	Elsewhere Results
+	// OtherPools holds the results of the same maintenance in other pools.
+	OtherPools Results
 }
 
-// Results counts hosts by how their maintenance ended.
+// Results counts hosts by the result of their maintenance.
 type Results struct {
 	Done   int `json:"done"`
 	Failed int `json:"failed"`
 }
 
-// Verdict says how a wave goes on.
+// Verdict is the kind of a Decision.
 type Verdict string
 
 // Verdicts of Step.
 const (
-	// Go: take down the hosts of Start, if any.
-	Go Verdict = "go"
-	// Hold: nothing may be taken down now; the wave goes on by itself.
+	// Proceed: take down the hosts in Start, if any.
+	Proceed Verdict = "go"
+	// Hold: no host may be taken down now; the wave resumes by itself.
 	Hold Verdict = "hold"
-	// Stopped: hosts did not come back; an operator or the cool-down resumes.
+	// Stopped: hosts did not come back from maintenance. The wave resumes once
+	// an operator resumes it, or the hosts are repaired and the cool-down ends.
 	Stopped Verdict = "stopped"
-	// Finished: no host waits for maintenance or is in it.
+	// Finished: no host is waiting for maintenance or under maintenance.
 	Finished Verdict = "finished"
 )
 
@@ -66,13 +67,13 @@
 	ReasonCanaries   = "canaries-failed"
 )
 
-// Decision is what to do now.
+// Decision is the result of Step.
 type Decision struct {
 	Verdict Verdict  `json:"verdict"`
 	Reason  string   `json:"reason,omitempty"`
 	Start   []string `json:"start,omitempty"`
-	// Left are the hosts that a finished wave did not maintain.
-	Left []string `json:"left,omitempty"`
+	// Skipped lists the hosts that a finished wave did not maintain.
+	Skipped []string `json:"left,omitempty"`
 }
 
 // Defaults of Config.
@@ -83,24 +84,25 @@
 	DefaultFailureWindow = time.Hour
 )
 
-// Config constructs a Wave; zero values take the defaults.
+// Config configures a Wave. Zero values take the defaults.
 type Config struct {
-	// Reserve is the failure domain whose loss the pool must survive.
+	// Reserve is the kind of failure domain whose loss the pool must survive.
 	Reserve Domain
-	// BudgetReserve is the part of the availability budget that waves leave.
+	// BudgetReserve is the fraction of the availability budget that waves must
+	// leave unspent.
 	BudgetReserve float64
 	// MaxFailures is the number of failures within FailureWindow that stops the
-	// wave. Hosts that fail further apart do so by themselves.
+	// wave. Failures further apart are considered unrelated.
 	MaxFailures   int
 	FailureWindow time.Duration
-	// RollOutTime is the deployment's weight of roll-out time over the mean of
-	// its weights, 1 by default.
+	// RollOutTime is the deployment's weight of roll-out time, relative to the
+	// mean of its weights. The default is 1.
 	RollOutTime float64
-	// Canaries is the number of hosts in maintenance at most until some came
-	// back, here or elsewhere: MaxFailures by default, more as roll-out time
-	// weighs more than the other measures.
+	// Canaries is the maximum number of hosts under maintenance until some have
+	// come back, in this pool or another. The default is MaxFailures, or more if
+	// RollOutTime is above 1.
 	Canaries int
-	// CoolDown is how long the wave stays stopped once its failed hosts are
+	// CoolDown is how long the wave stays stopped after its failed hosts are
 	// repaired.
 	CoolDown time.Duration
 }
@@ -108,13 +110,14 @@
 // Wave is one round of maintenance over a pool.
 type Wave struct {
 	config Config
-	// excused holds failures that an operator has looked at.
-	excused map[string]bool
-	// failedAt is when the hosts that failed did so.
+	// acknowledged holds the failed hosts at the time of an operator's Resume.
+	acknowledged map[string]bool
+	// failedAt holds the times of the failures that are not acknowledged.
 	failedAt map[string]time.Time
-	// recent are the failures within the window, at the last step.
+	// recent lists the hosts that failed within the failure window, as of the
+	// last step.
 	recent []string
-	// correlated holds the failures that stopped the wave.
+	// correlated holds the hosts whose failures stopped the wave.
 	correlated map[string]bool
 	stoppedAt  time.Time
 }
@@ -140,59 +143,60 @@
 		config.Canaries = int(math.Ceil(float64(config.MaxFailures) * max(1, config.RollOutTime)))
 	}
 	return &Wave{
-		config: config, excused: make(map[string]bool),
+		config: config, acknowledged: make(map[string]bool),
 		failedAt: make(map[string]time.Time), correlated: make(map[string]bool),
 	}
 }
 
-// Resume lets a stopped wave go on, at an operator's word: the hosts that
-// failed so far no longer count towards stopping.
+// Resume resumes a stopped wave on behalf of an operator. Hosts that have failed
+// so far no longer count towards stopping the wave.
 func (w *Wave) Resume(view View) {
 	for _, host := range view.Hosts {
 		if host.State == StateFailed {
-			w.excused[host.Name] = true
+			w.acknowledged[host.Name] = true
 		}
 	}
 	clear(w.correlated)
 	w.stoppedAt = time.Time{}
 }
 
-// Step decides what to do now.
+// Step decides which hosts to take down now.
 func (w *Wave) Step(now time.Time, view View) Decision {
 	if w.stopped(now, view) {
 		return Decision{Verdict: Stopped, Reason: ReasonCorrelated}
 	}
 	pending, down := count(view.Hosts, StatePending), count(view.Hosts, StateDown)
 	if pending == 0 && down == 0 {
-		return Decision{Verdict: Finished, Left: left(view.Hosts)}
+		return Decision{Verdict: Finished, Skipped: skipped(view.Hosts)}
 	}
 	if pending == 0 {
-		return Decision{Verdict: Go}
+		return Decision{Verdict: Proceed}
 	}
-	// The negation holds too when the budget is not a number.
+	// Negated so that a budget of NaN also holds the wave.
 	if !(view.BudgetLeft > w.config.BudgetReserve) {
 		return Decision{Verdict: Hold, Reason: ReasonBudget}
 	}
-	start := w.choose(view)
+	start := w.chooseHosts(view)
 	if len(start) == 0 && down == 0 {
 		return Decision{Verdict: Hold, Reason: ReasonCapacity}
 	}
-	start = start[:min(len(start), w.allowed(view, down))]
+	start = start[:min(len(start), w.startLimit(view, down))]
 	if len(start) == 0 && down == 0 {
 		return Decision{Verdict: Hold, Reason: ReasonCanaries}
 	}
-	return Decision{Verdict: Go, Start: start}
+	return Decision{Verdict: Proceed, Start: start}
 }
 
-// allowed is the number of hosts that may be taken down by what earlier ones
-// have proven. Failed canaries are not replaced while others are under way.
-func (w *Wave) allowed(view View, down int) int {
-	proof := min(w.config.Canaries, w.config.MaxFailures)
-	if count(view.Hosts, StateDone)+view.Elsewhere.Done >= proof {
+// startLimit returns the number of hosts that may be taken down now, given the
+// results of the maintenance so far: any number once enough canaries have come
+// back. Failed canaries are not replaced while others are under maintenance.
+func (w *Wave) startLimit(view View, down int) int {
+	required := min(w.config.Canaries, w.config.MaxFailures)
+	if count(view.Hosts, StateDone)+view.OtherPools.Done >= required {
 		return len(view.Hosts)
 	}
 	failed := len(w.recent)
-	if failed+view.Elsewhere.Failed >= w.config.MaxFailures {
+	if failed+view.OtherPools.Failed >= w.config.MaxFailures {
 		return 0
 	}
 	if down == 0 {
@@ -201,11 +205,11 @@
 	return max(0, w.config.Canaries-down-failed)
 }
 
-// stopped reports whether the wave must not take down any more: too many of
-// its hosts failed within a short time, and still do or did so less than the
-// cool-down ago.
+// stopped reports whether the wave must not take down any more hosts: too many
+// of its hosts failed within the failure window, and some are still failed or
+// the cool-down since their repair has not passed.
 func (w *Wave) stopped(now time.Time, view View) bool {
-	w.takeFailures(now, view)
+	w.recordFailures(now, view)
 	w.recent = w.recent[:0]
 	for name, at := range w.failedAt {
 		if now.Sub(at) <= w.config.FailureWindow {
@@ -223,16 +227,17 @@
 	return !w.stoppedAt.IsZero() && now.Sub(w.stoppedAt) < w.config.CoolDown
 }
 
-// takeFailures notes which hosts failed when, and forgets those that serve again.
-func (w *Wave) takeFailures(now time.Time, view View) {
+// recordFailures records the time at which each host failed, and drops the hosts
+// that are no longer failed.
+func (w *Wave) recordFailures(now time.Time, view View) {
 	for _, host := range view.Hosts {
 		if host.State != StateFailed {
-			delete(w.excused, host.Name)
+			delete(w.acknowledged, host.Name)
 			delete(w.failedAt, host.Name)
 			delete(w.correlated, host.Name)
 			continue
 		}
-		if w.excused[host.Name] {
+		if w.acknowledged[host.Name] {
 			delete(w.failedAt, host.Name)
 			continue
 		}
@@ -246,11 +251,11 @@
 	}
 }
 
-// choose returns the hosts to take down: each time one of the domain with the
-// most serving hosts, which leaves the smallest largest domain and so lets the
-// most hosts go at once.
-func (w *Wave) choose(view View) []string {
-	byDomain := w.group(view.Hosts)
+// chooseHosts returns the hosts that can be taken down at once. It takes each
+// host from the domain with the most serving hosts, which keeps the largest
+// domain as small as possible and so allows the most hosts.
+func (w *Wave) chooseHosts(view View) []string {
+	byDomain := w.groupByDomain(view.Hosts)
 	serving := 0
 	for _, d := range byDomain {
 		serving += d.serving
@@ -262,7 +267,7 @@
 			return start
 		}
 		next.serving--
-		if serving-1-w.largest(byDomain) < view.Need {
+		if serving-1-w.largestServing(byDomain) < view.Need {
 			return start
 		}
 		serving--
@@ -271,17 +276,17 @@
 	}
 }
 
-// largest returns the serving hosts of the largest domain, whose loss the pool
-// must survive.
-func (w *Wave) largest(domains []*domain) int {
+// largestServing returns the number of serving hosts in the largest domain,
+// whose loss the pool must survive.
+func (w *Wave) largestServing(domains []*domain) int {
 	if w.config.Reserve == NoDomain {
 		return 0
 	}
-	largest := 0
+	largestServing := 0
 	for _, d := range domains {
-		largest = max(largest, d.serving)
+		largestServing = max(largestServing, d.serving)
 	}
-	return largest
+	return largestServing
 }
 
 // domain is one failure domain of the pool.
@@ -291,12 +296,12 @@
 	pending []string
 }
 
-// group returns the pool's domains in order of name.
-func (w *Wave) group(hosts []Host) []*domain {
+// groupByDomain returns the pool's failure domains, sorted by name.
+func (w *Wave) groupByDomain(hosts []Host) []*domain {
 	byName := make(map[string]*domain)
 	var domains []*domain
 	for _, host := range hosts {
-		name := w.config.Reserve.of(host)
+		name := w.config.Reserve.domainName(host)
 		d, ok := byName[name]
 		if !ok {
 			d = &domain{name: name}
@@ -317,8 +322,8 @@
 	return domains
 }
 
-// largestWithPending returns the domain with the most serving hosts among
-// those with hosts that wait, nil when none waits.
+// largestWithPending returns the domain with the most serving hosts among those
+// with pending hosts, or nil if there are none.
 func largestWithPending(domains []*domain) *domain {
 	var best *domain
 	for _, d := range domains {
@@ -329,7 +334,7 @@
 	return best
 }
 
-// count returns the hosts in a state.
+// count returns the number of hosts in a state.
 func count(hosts []Host, state State) int {
 	n := 0
 	for _, host := range hosts {
@@ -340,8 +345,8 @@
 	return n
 }
 
-// left returns the hosts that were not maintained.
-func left(hosts []Host) []string {
+// skipped returns the sorted names of the hosts that were not maintained.
+func skipped(hosts []Host) []string {
 	var names []string
 	for _, host := range hosts {
 		if host.State == StateFailed || host.State == StateLost {
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// pool returns hosts in racks of four, all in one state.
+// pool returns n hosts in racks of four, all in the same state.
 func pool(n int, state wave.State) []wave.Host {
 	hosts := make([]wave.Host, n)
 	for i := range hosts {
@@ -70,13 +70,13 @@
 		wantReason string
 		wantStart  int
 	}{
-		"a few hosts first":             {wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1}, wave.Go, "", 2},
-		"as many as the reserve allows": {wave.View{Hosts: proven, Need: 4, BudgetLeft: 1}, wave.Go, "", 6},
+		"canaries first":                {wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1}, wave.Proceed, "", 2},
+		"as many as the reserve allows": {wave.View{Hosts: proven, Need: 4, BudgetLeft: 1}, wave.Proceed, "", 6},
 		"budget unknown":                {wave.View{Hosts: proven, Need: 4, BudgetLeft: math.NaN()}, wave.Hold, wave.ReasonBudget, 0},
-		"failures far apart":            {wave.View{Hosts: apart, Need: 2, BudgetLeft: 1}, wave.Go, "", 1},
-		"finished without some":         {wave.View{Hosts: ended, Need: 1, BudgetLeft: 1}, wave.Finished, "", 0},
-		"present failures count":        {wave.View{Hosts: lost, Need: 3, BudgetLeft: 1}, wave.Go, "", 2},
-		"no room":                       {wave.View{Hosts: pool(12, wave.StatePending), Need: 8, BudgetLeft: 1}, wave.Hold, wave.ReasonCapacity, 0},
+		"failures far apart":            {wave.View{Hosts: apart, Need: 2, BudgetLeft: 1}, wave.Proceed, "", 1},
+		"finished with a lost host":     {wave.View{Hosts: ended, Need: 1, BudgetLeft: 1}, wave.Finished, "", 0},
+		"present failures count":        {wave.View{Hosts: lost, Need: 3, BudgetLeft: 1}, wave.Proceed, "", 2},
+		"no spare capacity":             {wave.View{Hosts: pool(12, wave.StatePending), Need: 8, BudgetLeft: 1}, wave.Hold, wave.ReasonCapacity, 0},
 		"budget spent":                  {wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 0.1}, wave.Hold, wave.ReasonBudget, 0},
 		"failures correlate":            {wave.View{Hosts: failing, Need: 2, BudgetLeft: 1}, wave.Stopped, wave.ReasonCorrelated, 0},
 		"finished":                      {wave.View{Hosts: pool(12, wave.StateDone), Need: 4, BudgetLeft: 1}, wave.Finished, "", 0},
@@ -101,10 +101,10 @@
 		after    time.Duration
 		want     wave.Verdict
 	}{
-		"nobody looked":            {after: time.Minute, want: wave.Stopped},
-		"operator":                 {operator: true, want: wave.Go},
+		"not resumed":              {after: time.Minute, want: wave.Stopped},
+		"operator":                 {operator: true, want: wave.Proceed},
 		"repaired, too early":      {repaired: true, after: time.Minute, want: wave.Stopped},
-		"repaired and cooled down": {repaired: true, after: wave.DefaultCoolDown, want: wave.Go},
+		"repaired and cooled down": {repaired: true, after: wave.DefaultCoolDown, want: wave.Proceed},
 		"time alone":               {after: 10 * wave.DefaultCoolDown, want: wave.Stopped},
 	}
 	for name, tc := range tests {
@@ -126,21 +126,22 @@
 	}
 }
 
-// When the maintenance breaks each host, no more than the canaries are lost,
-// and a repaired host counts again when it fails again.
-func TestBadImage(t *testing.T) {
+// TestFaultyMaintenanceStops checks that a maintenance that breaks every host
+// costs no more hosts than there are canaries, and that a repaired host counts
+// again when it fails again.
+func TestFaultyMaintenanceStops(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := pool(rapid.IntRange(14, 40).Draw(t, "hosts"), wave.StatePending)
 		canaries := rapid.IntRange(2, 4).Draw(t, "canaries")
 		w, now, lost := wave.New(wave.Config{Canaries: canaries}), start, 0
-		verdict := wave.Go
+		verdict := wave.Proceed
 		for range 20 {
 			now = now.Add(time.Minute)
 			decision := w.Step(now, wave.View{Hosts: hosts, Need: 1, BudgetLeft: 1})
 			verdict = decision.Verdict
 			lost += len(decision.Start)
 			for _, name := range decision.Start {
-				set(hosts, name, wave.StatePending, wave.StateFailed)
+				setState(hosts, name, wave.StatePending, wave.StateFailed)
 			}
 		}
 		if want := wave.Stopped; verdict != want || lost > canaries {
@@ -148,8 +149,8 @@
 		}
 		view := wave.View{Hosts: hosts, Need: 1, BudgetLeft: 1}
 		w.Resume(view)
-		if got, want := w.Step(now, view).Verdict, wave.Go; got != want {
-			t.Fatalf("after the operator's word: got %s, want %s", got, want)
+		if got, want := w.Step(now, view).Verdict, wave.Proceed; got != want {
+			t.Fatalf("after the operator's resume: got %s, want %s", got, want)
 		}
 		failed := slices.Clone(hosts)
 		for i := range hosts {
@@ -162,8 +163,8 @@
 	})
 }
 
-// Results of other pools prove the maintenance, or hold it back; the weight of
-// roll-out time lets more canaries go at once.
+// TestCanaries checks that results in other pools lift the canary limit or hold
+// the wave, and that a larger weight of roll-out time allows more canaries.
 func TestCanaries(t *testing.T) {
 	tests := map[string]struct {
 		elsewhere wave.Results
@@ -171,17 +172,17 @@
 		want      int
 		verdict   wave.Verdict
 	}{
-		"nothing known":           {want: 2, verdict: wave.Go},
-		"roll-out time weighs":    {weight: 1.6, want: 4, verdict: wave.Go},
-		"roll-out weighs little":  {weight: 0.4, want: 2, verdict: wave.Go},
-		"proven elsewhere":        {elsewhere: wave.Results{Done: 2}, want: 6, verdict: wave.Go},
-		"one proven elsewhere":    {elsewhere: wave.Results{Done: 1}, want: 2, verdict: wave.Go},
+		"nothing known":           {want: 2, verdict: wave.Proceed},
+		"roll-out time weighs":    {weight: 1.6, want: 4, verdict: wave.Proceed},
+		"roll-out weighs little":  {weight: 0.4, want: 2, verdict: wave.Proceed},
+		"proven elsewhere":        {elsewhere: wave.Results{Done: 2}, want: 6, verdict: wave.Proceed},
+		"one proven elsewhere":    {elsewhere: wave.Results{Done: 1}, want: 2, verdict: wave.Proceed},
 		"canaries fail elsewhere": {elsewhere: wave.Results{Failed: 2}, want: 0, verdict: wave.Hold},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := wave.New(wave.Config{RollOutTime: tc.weight})
-			got := w.Step(start, wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1, Elsewhere: tc.elsewhere})
+			got := w.Step(start, wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1, OtherPools: tc.elsewhere})
 			if got.Verdict != tc.verdict || len(got.Start) != tc.want {
 				t.Errorf("got %+v, want %s of %d hosts", got, tc.verdict, tc.want)
 			}
@@ -189,18 +190,19 @@
 	}
 }
 
-func TestFinishedNamesWhatIsLeft(t *testing.T) {
+func TestFinishedListsSkippedHosts(t *testing.T) {
 	hosts := pool(3, wave.StateDone)
 	hosts[2].State = wave.StateLost
-	got := wave.New(wave.Config{}).Step(start, wave.View{Hosts: hosts, BudgetLeft: 1}).Left
+	got := wave.New(wave.Config{}).Step(start, wave.View{Hosts: hosts, BudgetLeft: 1}).Skipped
 	if want := []string{"host-02"}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
-// Whatever fails meanwhile, a wave never takes a host down that leaves the
-// pool short after the loss of its largest rack, and it ends.
-func TestWaveKeepsTheReserve(t *testing.T) {
+// TestWaveKeepsReserve checks under random failures that a wave never takes down
+// a host if the pool could then not carry its load after the loss of its largest
+// rack.
+func TestWaveKeepsReserve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := pool(rapid.IntRange(1, 40).Draw(t, "hosts"), wave.StatePending)
 		need := rapid.IntRange(0, len(hosts)).Draw(t, "need")
@@ -210,7 +212,7 @@
 			now = now.Add(time.Minute)
 			decision := w.Step(now, wave.View{Hosts: hosts, Need: need, BudgetLeft: 1})
 			for _, name := range decision.Start {
-				set(hosts, name, wave.StatePending, wave.StateDown)
+				setState(hosts, name, wave.StatePending, wave.StateDown)
 			}
 			if left := serving(hosts) - largestRack(hosts); len(decision.Start) > 0 && left < need {
 				t.Fatalf("after a step: got %d hosts without the largest rack, want %d", left, need)
@@ -221,13 +223,13 @@
 			if decision.Verdict == wave.Finished {
 				return
 			}
-			disturb(t, hosts)
+			applyRandomEvents(t, hosts)
 		}
 	})
 }
 
-// disturb ends maintenance, and fails and repairs hosts.
-func disturb(t *rapid.T, hosts []wave.Host) {
+// applyRandomEvents completes maintenance, and fails and repairs hosts at random.
+func applyRandomEvents(t *rapid.T, hosts []wave.Host) {
 	for i := range hosts {
 		event := rapid.IntRange(0, 19).Draw(t, "event")
 		switch state := hosts[i].State; {
@@ -245,7 +247,7 @@
 	}
 }
 
-func set(hosts []wave.Host, name string, from, to wave.State) {
+func setState(hosts []wave.Host, name string, from, to wave.State) {
 	for i := range hosts {
 		if hosts[i].Name == name && hosts[i].State == from {
 			hosts[i].State = to
