--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -29,18 +29,18 @@
 	}
 }
 
-// job is a task with what it really uses and how far it got.
+// job is a task with its actual usage and remaining run time in seconds.
 type job struct {
-	demand place.Demand
-	actual place.Size
-	left   float64
-	total  float64
-	failed int
+	demand    place.Demand
+	actual    place.Size
+	remaining float64
+	total     float64
+	failed    int
 }
 
-// load draws tasks of five queues. A queue's declarations are off by its bias,
-// and each task's by some more.
-func load(random *rand.Rand, n int) []*job {
+// randomJobs draws tasks of five queues. Each declaration is off by its queue's
+// bias and a random factor.
+func randomJobs(random *rand.Rand, n int) []*job {
 	biases := []float64{0.25, 0.5, 1, 1.5, 2.5}
 	var jobs []*job
 	for i := range n {
@@ -51,28 +51,29 @@
 		seconds := 20 + 100*random.Float64()
 		d.RunTime = time.Duration(seconds * float64(time.Second))
 		jobs = append(jobs, &job{
-			demand: d,
-			actual: place.Size{CPUs: d.Declared.CPUs * off, Memory: int64(float64(d.Declared.Memory) * off)},
-			left:   seconds * off, total: seconds * off,
+			demand:    d,
+			actual:    place.Size{CPUs: d.Declared.CPUs * off, Memory: int64(float64(d.Declared.Memory) * off)},
+			remaining: seconds * off, total: seconds * off,
 		})
 	}
 	return jobs
 }
 
-// outcome is what a policy made of a load.
-type outcome struct {
+// benchmarkResult is the result of running a load under one policy.
+type benchmarkResult struct {
 	makespan float64
 	bound    float64
 	failures int
 	givenUp  int
 }
 
-// simulate runs the load to its end in steps of a second. A worker that is short
-// of processors slows its tasks down; one short of memory fails the newest.
-func simulate(cfg place.Config, seed uint64, workers, tasks int) outcome {
+// simulate runs the load to completion in steps of one second. A worker that is
+// short of processors slows its tasks down; a worker that is short of memory
+// fails its newest tasks.
+func simulate(cfg place.Config, seed uint64, workers, tasks int) benchmarkResult {
 	placer := pool(cfg, workers)
-	waiting := load(rand.New(rand.NewPCG(seed, 7)), tasks)
-	result := outcome{bound: lowerBound(waiting, workers)}
+	waiting := randomJobs(rand.New(rand.NewPCG(seed, 7)), tasks)
+	result := benchmarkResult{bound: lowerBound(waiting, workers)}
 	running := map[string][]*job{}
 	now := start
 	for len(waiting) > 0 || len(running) > 0 {
@@ -87,7 +88,7 @@
 			return true
 		})
 		for _, worker := range sortedWorkers(running) {
-			left, failed := advance(placer, now, running[worker])
+			remaining, failed := advance(placer, now, running[worker])
 			result.failures += len(failed)
 			for _, j := range failed {
 				if j.failed++; j.failed >= 5 {
@@ -95,11 +96,11 @@
 					continue
 				}
 				j.demand.MemoryFailures++
-				j.left = j.total
+				j.remaining = j.total
 				waiting = append(waiting, j)
 			}
-			running[worker] = left
-			if len(left) == 0 {
+			running[worker] = remaining
+			if len(remaining) == 0 {
 				delete(running, worker)
 			}
 		}
@@ -108,8 +109,8 @@
 	return result
 }
 
-// advance runs one worker's tasks for a second.
-func advance(placer *place.Placer, now time.Time, jobs []*job) (left, failed []*job) {
+// advance runs one worker's tasks for one second.
+func advance(placer *place.Placer, now time.Time, jobs []*job) (remaining, failed []*job) {
 	var used place.Size
 	for _, j := range jobs {
 		used = used.Plus(j.actual)
@@ -118,28 +119,28 @@
 		last := jobs[len(jobs)-1]
 		jobs = jobs[:len(jobs)-1]
 		used = used.Minus(last.actual)
-		placer.Report(now, last.demand.Task, last.actual)
+		placer.ReportUsage(now, last.demand.Task, last.actual)
 		placer.Release(now, last.demand.Task, place.Failed)
 		failed = append(failed, last)
 	}
 	speed := min(1, 16/used.CPUs)
 	for _, j := range jobs {
-		j.left -= speed
+		j.remaining -= speed
 		if now.Second()%2 == 0 { // Reports lag.
-			placer.Report(now, j.demand.Task, j.actual)
+			placer.ReportUsage(now, j.demand.Task, j.actual)
 		}
-		if j.left > 0 {
-			left = append(left, j)
+		if j.remaining > 0 {
+			remaining = append(remaining, j)
 			continue
 		}
 		placer.Release(now, j.demand.Task, place.Succeeded)
 		placer.Forget(j.demand.Task)
 	}
-	return left, failed
+	return remaining, failed
 }
 
-// lowerBound is the shortest time in which the workers could do the work if it
-// could be divided at will.
+// lowerBound returns the minimum makespan in seconds if the work could be divided
+// arbitrarily.
 func lowerBound(jobs []*job, workers int) float64 {
 	var cpus, memory float64
 	for _, j := range jobs {
@@ -158,8 +159,9 @@
 	return names
 }
 
-// BenchmarkPlacing compares learned sizes with declared ones on 24 workers, over
-// five seeds: makespan as a multiple of the bound, and runs that failed.
+// BenchmarkPlacing compares corrected with declared sizes on 24 workers over five
+// seeds. It reports the makespan as a multiple of the lower bound, and the failed
+// runs.
 func BenchmarkPlacing(b *testing.B) {
 	policies := map[string]place.Config{"learned": {}, "declared": {TrustDeclared: true}}
 	for _, name := range []string{"learned", "declared"} {
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -8,65 +8,67 @@
 )
 
 const (
-	// fullnessSteps is how finely the fullness of workers is told apart before
-	// the spread over racks decides.
+	// fullnessSteps is the number of levels to which the fullness of workers is
+	// rounded. Among workers of the same level the spread over racks decides.
 	fullnessSteps = 8
-	// preemptHold is short, so that urgent work looks elsewhere when a worker
-	// does not make room at once.
-	preemptHold  = time.Second
-	starvingHold = 10 * time.Minute
-	// largePart is the part of a worker from which a task counts as large.
-	largePart = 0.25
-	// workersPerHold bounds the workers held for starving tasks.
-	workersPerHold = 8
-	// checkpointCost is what a checkpoint weighs against a throttling.
+	// preemptionReservation is short, so that urgent work tries another worker
+	// if this one does not free its resources at once.
+	preemptionReservation = time.Second
+	starvingReservation   = 10 * time.Minute
+	// minReservedFraction is the fraction of a worker that a starving task must
+	// need to get a reservation.
+	minReservedFraction = 0.25
+	// workersPerReservation limits reservations for starving tasks to one for
+	// this many workers.
+	workersPerReservation = 8
+	// checkpointCost is the cost of a checkpoint, in throttlings.
 	checkpointCost = 10
 )
 
-// Choose decides where the task could start now. It counts nothing: the caller
-// calls Place once the placement is to be made.
+// Choose decides where the task could start now. It does not place the task: the
+// caller calls Place for that.
 func (p *Placer) Choose(now time.Time, d Demand) Decision {
 	need := p.Need(d)
-	if best := p.best(now, d, need); best != nil {
-		return Decision{Outcome: Placed, Worker: best.Name}
+	if bestWorker := p.bestWorker(now, d, need); bestWorker != nil {
+		return Decision{Outcome: Placed, Worker: bestWorker.Name}
 	}
 	if p.exhausted(d) {
 		return Decision{Outcome: Exhausted}
 	}
-	if w, ok := p.holds[d.Task]; ok && w.hold.inForce(now) && w.open(now, d) {
+	if w, ok := p.reservations[d.Task]; ok && w.reservation.inForce(now) && w.accepts(now, d) {
 		return Decision{Outcome: Waits}
 	}
-	p.releaseHold(d.Task)
+	p.releaseReservation(d.Task)
 	if d.Class == Urgent {
 		return p.preempt(now, d, need)
 	}
 	if d.Waited >= starvingAfter {
-		p.keepRoom(now, d, need)
+		p.reserveWorker(now, d, need)
 	}
 	return Decision{Outcome: Waits}
 }
 
-// best returns the open worker that the task fills most, so that large tasks
-// find room elsewhere; among like ones, that in the rack with the fewest tasks
-// of the queue.
-func (p *Placer) best(now time.Time, d Demand, need Size) *worker {
-	var best *worker
+// bestWorker returns the worker that would be fullest with the task, so that
+// others keep free capacity for large tasks. Among equally full workers it
+// prefers the rack with the fewest tasks of the queue.
+func (p *Placer) bestWorker(now time.Time, d Demand, need Size) *worker {
+	var bestWorker *worker
 	bestFullness, bestSpread := 0, 0
 	for _, name := range p.names {
 		w := p.workers[name]
-		if !need.Fits(w.room()) || !w.open(now, d) {
+		if !need.Fits(w.free()) || !w.accepts(now, d) {
 			continue
 		}
-		fullness := int(w.used.Plus(need).fraction(w.Size) * fullnessSteps)
+		fullness := int(w.used.Plus(need).fractionOf(w.Size) * fullnessSteps)
 		spread := p.spread[rackQueue{dataCentre: w.DataCentre, rack: w.Rack, queue: d.Queue}]
-		if best == nil || fullness > bestFullness || fullness == bestFullness && spread < bestSpread {
-			best, bestFullness, bestSpread = w, fullness, spread
+		if bestWorker == nil || fullness > bestFullness || fullness == bestFullness && spread < bestSpread {
+			bestWorker, bestFullness, bestSpread = w, fullness, spread
 		}
 	}
-	return best
+	return bestWorker
 }
 
-// exhausted reports whether the task failed on every worker that could take it.
+// exhausted reports whether the task must avoid every worker that it fits.
 func (p *Placer) exhausted(d Demand) bool {
 	avoided := false
 	for _, w := range p.workers {
@@ -81,34 +83,36 @@
 	return avoided
 }
 
-// plan is what it takes to make room on one worker.
-type plan struct {
+// preemptionPlan lists the tasks to throttle and to checkpoint in order to free
+// resources on one worker.
+type preemptionPlan struct {
 	worker     *worker
-	throttle   []*held
-	checkpoint []*held
+	throttle   []*placedTask
+	checkpoint []*placedTask
 	cost       int
 }
 
-// preempt makes room for urgent work where that disturbs the least.
+// preempt frees resources for urgent work on the worker where that costs least.
 func (p *Placer) preempt(now time.Time, d Demand, need Size) Decision {
-	best := plan{cost: math.MaxInt}
+	best := preemptionPlan{cost: math.MaxInt}
 	for _, name := range p.names {
 		w := p.workers[name]
-		if !w.open(now, d) || !need.Fits(w.Size) {
+		if !w.accepts(now, d) || !need.Fits(w.Size) {
 			continue
 		}
-		if found, ok := makeRoom(w, d, need); ok && found.cost < best.cost {
+		if found, ok := planPreemption(w, d, need); ok && found.cost < best.cost {
 			best = found
 		}
 	}
 	if best.worker == nil {
 		return Decision{Outcome: Waits}
 	}
-	return p.carryOut(now, d, best)
+	return p.applyPreemption(now, d, best)
 }
 
-// carryOut marks the tasks that make room and holds the room for the demand.
-func (p *Placer) carryOut(now time.Time, d Demand, chosen plan) Decision {
+// applyPreemption marks the tasks of the plan as throttled or checkpointing, and
+// reserves the worker for the demand.
+func (p *Placer) applyPreemption(now time.Time, d Demand, chosen preemptionPlan) Decision {
 	decision := Decision{Outcome: Placed, Worker: chosen.worker.Name}
 	for _, victim := range chosen.throttle {
 		victim.throttled = true
@@ -117,117 +121,119 @@
 		decision.Throttle = append(decision.Throttle, victim.demand.Task)
 	}
 	for _, victim := range chosen.checkpoint {
-		victim.going = true
+		victim.checkpointing = true
 		decision.Checkpoint = append(decision.Checkpoint, victim.demand.Task)
 		decision.Outcome = Preempts
 	}
 	chosen.worker.recount()
-	p.keep(chosen.worker, &hold{task: d.Task, class: d.Class, until: now.Add(preemptHold)})
+	p.setReservation(chosen.worker, &reservation{task: d.Task, class: d.Class, until: now.Add(preemptionReservation)})
 	return decision
 }
 
-// makeRoom plans which tasks of lower classes make room: throttling them, or else
-// checkpoints, which free all that a task has.
-func makeRoom(w *worker, d Demand, need Size) (plan, bool) {
+// planPreemption plans which tasks of lower classes to preempt. It prefers
+// throttling; checkpoints free all resources of a task.
+func planPreemption(w *worker, d Demand, need Size) (preemptionPlan, bool) {
 	victims := w.victims(d.Class)
-	if found, ok := byThrottling(w, victims, need); ok {
+	if found, ok := planThrottling(w, victims, need); ok {
 		return found, true
 	}
-	return byCheckpoints(w, victims, need)
+	return planCheckpoints(w, victims, need)
 }
 
-// byThrottling frees processors alone.
-func byThrottling(w *worker, victims []*held, need Size) (plan, bool) {
-	found := plan{worker: w}
-	room := w.room()
+// planThrottling plans preemption by throttling, which frees processors only.
+func planThrottling(w *worker, victims []*placedTask, need Size) (preemptionPlan, bool) {
+	found := preemptionPlan{worker: w}
+	free := w.free()
 	for _, victim := range victims {
-		if need.Fits(room) {
+		if need.Fits(free) {
 			break
 		}
-		if victim.throttled || victim.going {
+		if victim.throttled || victim.checkpointing {
 			continue
 		}
 		found.throttle = append(found.throttle, victim)
 		found.cost++
-		room.CPUs += victim.need.CPUs * (1 - throttledRate)
+		free.CPUs += victim.need.CPUs * (1 - throttledRate)
 	}
-	return found, need.Fits(room)
+	return found, need.Fits(free)
 }
 
-// byCheckpoints moves tasks away.
-func byCheckpoints(w *worker, victims []*held, need Size) (plan, bool) {
-	found := plan{worker: w}
-	room := w.room()
+// planCheckpoints plans preemption by checkpoints, which stop movable tasks so
+// that they can restart elsewhere.
+func planCheckpoints(w *worker, victims []*placedTask, need Size) (preemptionPlan, bool) {
+	found := preemptionPlan{worker: w}
+	free := w.free()
 	for _, victim := range victims {
-		if need.Fits(room) {
+		if need.Fits(free) {
 			break
 		}
-		if !victim.demand.Movable || victim.going {
+		if !victim.demand.Movable || victim.checkpointing {
 			continue
 		}
 		found.checkpoint = append(found.checkpoint, victim)
 		found.cost += checkpointCost
-		room = room.Plus(victim.need)
+		free = free.Plus(victim.need)
 	}
-	return found, need.Fits(room)
+	return found, need.Fits(free)
 }
 
-// victims returns the tasks below the class: the lowest class first, and in it
-// the youngest, which lose least.
-func (w *worker) victims(class Class) []*held {
-	victims := slices.DeleteFunc(w.sorted(), func(task *held) bool { return !class.above(task.demand.Class) })
-	slices.SortStableFunc(victims, func(a, b *held) int {
+// victims returns the tasks of lower classes, the lowest class first and the
+// youngest first within a class, because these lose the least work.
+func (w *worker) victims(class Class) []*placedTask {
+	victims := slices.DeleteFunc(w.sorted(), func(task *placedTask) bool { return !class.before(task.demand.Class) })
+	slices.SortStableFunc(victims, func(a, b *placedTask) int {
 		if order := b.demand.Class.Rank() - a.demand.Class.Rank(); order != 0 {
 			return order
 		}
-		return b.placed.Compare(a.placed)
+		return b.placedAt.Compare(a.placedAt)
 	})
 	return victims
 }
 
-// keepRoom holds the emptiest fitting worker for a starving task. Small tasks
-// need none, for room for them comes of itself; and held room may stand idle, so
-// that few workers are held.
-func (p *Placer) keepRoom(now time.Time, d Demand, need Size) {
-	if len(p.holds) >= max(1, len(p.names)/workersPerHold) {
+// reserveWorker reserves the emptiest fitting worker for a starving task. Small
+// tasks get no reservation, because capacity for them becomes free without one.
+// The number of reservations is limited, because reserved capacity may stay idle.
+func (p *Placer) reserveWorker(now time.Time, d Demand, need Size) {
+	if len(p.reservations) >= max(1, len(p.names)/workersPerReservation) {
 		return
 	}
 	var emptiest *worker
 	for _, name := range p.names {
 		w := p.workers[name]
-		if !need.Fits(w.Size) || w.hold.inForce(now) || !w.open(now, d) {
+		if !need.Fits(w.Size) || w.reservation.inForce(now) || !w.accepts(now, d) {
 			continue
 		}
-		if need.fraction(w.Size) < largePart {
+		if need.fractionOf(w.Size) < minReservedFraction {
 			continue
 		}
-		if emptiest == nil || w.used.fraction(w.Size) < emptiest.used.fraction(emptiest.Size) {
+		if emptiest == nil || w.used.fractionOf(w.Size) < emptiest.used.fractionOf(emptiest.Size) {
 			emptiest = w
 		}
 	}
 	if emptiest != nil {
-		p.keep(emptiest, &hold{task: d.Task, class: d.Class, until: now.Add(starvingHold)})
+		p.setReservation(emptiest, &reservation{task: d.Task, class: d.Class, until: now.Add(starvingReservation)})
 	}
 }
 
-// keep puts a hold in force.
-func (p *Placer) keep(w *worker, kept *hold) {
-	p.releaseHold(kept.task)
-	if w.hold != nil {
-		delete(p.holds, w.hold.task)
+// setReservation reserves the worker, replacing the reservations of both the
+// worker and the task.
+func (p *Placer) setReservation(w *worker, r *reservation) {
+	p.releaseReservation(r.task)
+	if w.reservation != nil {
+		delete(p.reservations, w.reservation.task)
 	}
-	w.hold = kept
-	p.holds[kept.task] = w
+	w.reservation = r
+	p.reservations[r.task] = w
 }
 
-// Restore returns the throttled tasks for which there are processors again; they
-// count as running at full speed from now on.
-func (p *Placer) Restore(now time.Time) []string {
+// Unthrottle returns the throttled tasks for which processors are free again.
+// They count as running at full speed from now on.
+func (p *Placer) Unthrottle(now time.Time) []string {
 	var restored []string
 	for _, name := range slices.Sorted(maps.Keys(p.throttled)) {
 		task := p.throttled[name]
 		more := task.need.CPUs * (1/throttledRate - 1)
-		if more > task.worker.room().CPUs || task.worker.hold.inForce(now) {
+		if more > task.worker.free().CPUs || task.worker.reservation.inForce(now) {
 			continue
 		}
 		delete(p.throttled, name)
@@ -239,8 +245,9 @@
 	return restored
 }
 
-// Expected is how long the declared time is expected to take on that queue.
-func (p *Placer) Expected(queue string, declared time.Duration) time.Duration {
+// ExpectedRunTime returns the expected run time of a task of the queue, given its
+// declared run time.
+func (p *Placer) ExpectedRunTime(queue string, declared time.Duration) time.Duration {
 	if p.cfg.TrustDeclared {
 		return declared
 	}
--- a/internal/place/dump.go
+++ b/internal/place/dump.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// WorkerState is a worker as the dump shows it.
+// WorkerState describes a worker in a dump.
 type WorkerState struct {
 	Worker
-	Used       Size     `json:"used"`
-	Tasks      []string `json:"tasks"`
-	Leaving    bool     `json:"leaving"`
-	Silent     bool     `json:"silent"`
-	AsideUntil string   `json:"aside-until,omitempty"`
-	Hold       string   `json:"hold,omitempty"`
+	Used             Size     `json:"used"`
+	Tasks            []string `json:"tasks"`
+	Leaving          bool     `json:"leaving"`
+	Silent           bool     `json:"silent"`
+	QuarantinedUntil string   `json:"aside-until,omitempty"`
+	Reservation      string   `json:"hold,omitempty"`
 }
 
-// Dump returns the workers in name order.
+// Dump returns the state of all workers, sorted by name.
 func (p *Placer) Dump() []WorkerState {
 	states := make([]WorkerState, 0, len(p.names))
 	for _, name := range p.names {
@@ -25,15 +25,15 @@
 		state := WorkerState{
 			Worker: w.Worker, Used: w.used, Leaving: w.leaving, Silent: w.silent, Tasks: []string{},
 		}
-		if w.hold != nil {
-			state.Hold = w.hold.task
+		if w.reservation != nil {
+			state.Reservation = w.reservation.task
 		}
 		for task := range w.tasks {
 			state.Tasks = append(state.Tasks, task)
 		}
 		slices.SortFunc(state.Tasks, strings.Compare)
-		if !w.health.asideUntil.IsZero() {
-			state.AsideUntil = w.health.asideUntil.Format(time.RFC3339)
+		if !w.health.quarantinedUntil.IsZero() {
+			state.QuarantinedUntil = w.health.quarantinedUntil.Format(time.RFC3339)
 		}
 		states = append(states, state)
 	}
--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -6,26 +6,29 @@
 )
 
 const (
-	// ratioWindow is how many tasks of a queue an estimate looks back on.
+	// ratioWindow is the number of recent tasks of a queue that an estimate uses.
 	ratioWindow = 64
-	// priorWeight is the number of tasks that a declaration weighs as much as.
+	// priorWeight is the weight of a declaration, in observed tasks.
 	priorWeight = 8
-	// maxRatio bounds how far experience may move a declaration, either way.
+	// maxRatio limits the correction of a declaration in both directions.
 	maxRatio = 16.0
-	// memoryQuantile covers most tasks, for lack of memory kills a task.
+	// memoryQuantile covers most tasks, because a task that runs out of memory
+	// is killed.
 	memoryQuantile = 0.95
-	// cpuQuantile is the middle, for lack of processors only slows a task.
+	// cpuQuantile is the median, because a task that is short of processors only
+	// runs slower.
 	cpuQuantile = 0.5
 )
 
-// ratios remembers how a queue's last tasks compared with their declarations.
-type ratios struct {
+// ratioHistory is a ring buffer of the ratios of actual to declared usage of a
+// queue's most recent tasks.
+type ratioHistory struct {
 	values []float64
 	next   int
 }
 
-// add remembers one ratio, bounded.
-func (r *ratios) add(ratio float64) {
+// add records a ratio, limited to maxRatio in both directions.
+func (r *ratioHistory) add(ratio float64) {
 	ratio = min(max(ratio, 1/maxRatio), maxRatio)
 	if len(r.values) < ratioWindow {
 		r.values = append(r.values, ratio)
@@ -35,8 +38,8 @@
 	r.next = (r.next + 1) % ratioWindow
 }
 
-// quantile returns the quantile, drawn towards 1 while there are few values.
-func (r *ratios) quantile(q float64) float64 {
+// quantile returns the q-quantile of the ratios, weighted with a prior of 1.
+func (r *ratioHistory) quantile(q float64) float64 {
 	if len(r.values) == 0 {
 		return 1
 	}
@@ -46,24 +49,24 @@
 	return 1 + weight*(value-1)
 }
 
-// estimate learns how far off a queue's declarations are.
+// estimate tracks the ratios of actual to declared usage of a queue's tasks.
 type estimate struct {
-	cpus    ratios
-	memory  ratios
-	runTime ratios
+	cpus    ratioHistory
+	memory  ratioHistory
+	runTime ratioHistory
 
 	cpuFactor     float64
 	memoryFactor  float64
 	runTimeFactor float64
 }
 
-// newEstimate returns an estimate that trusts declarations.
+// newEstimate returns an estimate that equals the declarations.
 func newEstimate() *estimate {
 	return &estimate{cpuFactor: 1, memoryFactor: 1, runTimeFactor: 1}
 }
 
-// learn takes in the greatest usage of a finished task.
-func (e *estimate) learn(declared, peak Size) {
+// observeUsage records the peak usage of a finished task.
+func (e *estimate) observeUsage(declared, peak Size) {
 	if declared.CPUs > 0 && peak.CPUs > 0 {
 		e.cpus.add(peak.CPUs / declared.CPUs)
 		e.cpuFactor = e.cpus.quantile(cpuQuantile)
@@ -74,8 +77,8 @@
 	}
 }
 
-// learnRunTime takes in the run time of a task that ended by itself.
-func (e *estimate) learnRunTime(declared, took time.Duration) {
+// observeRunTime records the run time of a task that succeeded.
+func (e *estimate) observeRunTime(declared, took time.Duration) {
 	if declared <= 0 || took <= 0 {
 		return
 	}
@@ -83,7 +86,7 @@
 	e.runTimeFactor = e.runTime.quantile(cpuQuantile)
 }
 
-// need is what a task with that declaration is expected to use.
+// need returns the expected usage of a task with the declared size.
 func (e *estimate) need(declared Size) Size {
 	return Size{
 		CPUs:         declared.CPUs * e.cpuFactor,
--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -3,88 +3,90 @@
 import "time"
 
 const (
-	// suspicionLimit is the number of unexplained failures, of as many tasks and
-	// without a success in between, that sets a worker aside.
-	suspicionLimit = 3
-	// trialTasks is how many tasks a suspected worker may hold until one succeeds.
-	trialTasks = 2
-	// maxUnexplained bounds the failures that are remembered of a worker.
+	// quarantineThreshold is the number of unexplained failures, of different
+	// tasks and without a success in between, that quarantines a worker.
+	quarantineThreshold = 3
+	// probationTasks is how many tasks a worker with unexplained failures may
+	// hold at a time until one succeeds.
+	probationTasks = 2
+	// maxUnexplained limits the unexplained failures recorded for a worker.
 	maxUnexplained = 64
-	firstRest      = 30 * time.Second
-	longestRest    = 30 * time.Minute
+	minBackoff     = 30 * time.Second
+	maxBackoff     = 30 * time.Minute
 )
 
-// health judges a worker by the tasks that failed there. A failure is explained,
-// and no longer held against the worker, when the same task fails elsewhere too.
+// health tracks the health of a worker by the tasks that failed on it. A failure
+// is explained, and no longer counts against the worker, when the same task also
+// fails on another worker.
 type health struct {
-	unexplained map[string]struct{}
-	proven      bool
-	asideUntil  time.Time
-	rest        time.Duration
+	unexplained      map[string]struct{}
+	proven           bool
+	quarantinedUntil time.Time
+	backoff          time.Duration
 }
 
-// newHealth returns the health of a worker on which nothing has run.
+// newHealth returns the health of a worker that has run no task yet.
 func newHealth() *health {
 	return &health{unexplained: make(map[string]struct{})}
 }
 
-// succeeded clears the worker.
-func (h *health) succeeded() {
+// recordSuccess clears the worker's failures and ends its quarantine.
+func (h *health) recordSuccess() {
 	clear(h.unexplained)
 	h.proven = true
-	h.asideUntil = time.Time{}
-	h.rest = 0
+	h.quarantinedUntil = time.Time{}
+	h.backoff = 0
 }
 
-// failed holds a task's failure against the worker and sets it aside for too
-// many of them, if it may rest.
-func (h *health) failed(now time.Time, task string, mayRest bool) {
+// recordFailure records a task's failure on the worker, and quarantines the
+// worker if it has too many and mayQuarantine is set.
+func (h *health) recordFailure(now time.Time, task string, mayQuarantine bool) {
 	if len(h.unexplained) < maxUnexplained {
 		h.unexplained[task] = struct{}{}
 	}
-	if len(h.unexplained) < suspicionLimit || !mayRest {
+	if len(h.unexplained) < quarantineThreshold || !mayQuarantine {
 		return
 	}
 	h.proven = false
-	h.rest = min(max(2*h.rest, firstRest), longestRest)
-	h.asideUntil = now.Add(h.rest)
+	h.backoff = min(max(2*h.backoff, minBackoff), maxBackoff)
+	h.quarantinedUntil = now.Add(h.backoff)
 }
 
-// suspects reports whether the task's failure is held against the worker.
-func (h *health) suspects(task string) bool {
+// hasFailure reports whether a failure of the task counts against the worker.
+func (h *health) hasFailure(task string) bool {
 	_, held := h.unexplained[task]
 	return held
 }
 
-// explained takes a task's failure back. A worker that was set aside for too
-// few failures then returns.
-func (h *health) explained(task string) {
-	if !h.suspects(task) {
+// dropFailure removes a failure that is explained. It ends the quarantine if the
+// remaining failures are below the threshold.
+func (h *health) dropFailure(task string) {
+	if !h.hasFailure(task) {
 		return
 	}
 	delete(h.unexplained, task)
-	if len(h.unexplained) < suspicionLimit {
-		h.asideUntil = time.Time{}
-		h.rest = 0
+	if len(h.unexplained) < quarantineThreshold {
+		h.quarantinedUntil = time.Time{}
+		h.backoff = 0
 	}
 }
 
-// aside reports whether the worker is set aside at now.
-func (h *health) aside(now time.Time) bool {
-	return now.Before(h.asideUntil)
+// quarantined reports whether the worker is quarantined at the given time.
+func (h *health) quarantined(now time.Time) bool {
+	return now.Before(h.quarantinedUntil)
 }
 
-// allows reports whether one more task may join those held by the worker. A
-// worker under suspicion gets few; after its rest it gets a single one, whose
-// failure sets it aside again.
+// allows reports whether the worker may get another task in addition to those it
+// holds. A worker with unexplained failures gets only a few. After a quarantine
+// it gets a single task, whose failure quarantines the worker again.
 func (h *health) allows(now time.Time, held int) bool {
 	switch {
-	case h.aside(now):
+	case h.quarantined(now):
 		return false
-	case h.rest > 0:
+	case h.backoff > 0:
 		return held == 0
 	case len(h.unexplained) > 0:
-		return h.proven || held < trialTasks
+		return h.proven || held < probationTasks
 	default:
 		return true
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,9 +1,9 @@
 // Package place decides which worker runs which task.
 //
-// Declared sizes are a first guess: each queue's declarations are corrected by
-// what its tasks were seen to use, within bounds. A worker on which everything
-// fails is set aside and tried again ever more slowly. Urgent work takes room
-// from lower classes by throttling or by checkpoints. Time is an argument.
+// Declared sizes are corrected, within limits, by the observed usage of earlier
+// tasks of the same queue. A worker on which every task fails is quarantined and
+// tried again with exponential backoff. Urgent work preempts lower classes by
+// throttling or checkpointing them. The caller passes the time to each call.
 //
 // # Usage
 //
@@ -13,10 +13,10 @@
 //	if decision.Outcome == place.Placed {
 //		placer.Place(now, demand, decision.Worker)
 //	}
-//	placer.Report(now, "worker-1", "plans/7", usage)
+//	placer.ReportUsage(now, "plans/7", usage)
 //	placer.Release(now, "plans/7", place.Succeeded)
 //
-// A Placer is not safe for concurrent use; the owner of its pool steps it.
+// A Placer is not safe for concurrent use: only the owner of its pool calls it.
 package place
 
 import (
@@ -25,22 +25,25 @@
 )
 
 const (
-	// settleTime is the age from which reports are trusted to show a task's use.
-	settleTime = 5 * time.Second
-	// starvingAfter is the wait after which room is kept for a task.
+	// warmUpTime is the age of a task from which reports represent its usage.
+	warmUpTime = 5 * time.Second
+	// starvingAfter is the wait after which a worker is reserved for a task.
 	starvingAfter = 30 * time.Second
-	headroom      = 1.25
-	trustBound    = 4.0
-	throttledRate = 0.25
-	// asideBound is the greatest part of the workers that may be set aside; when
-	// more fail, the fault is not the workers'.
-	asideBound = 0.5
+	// headroom is the factor on the reported usage that leaves room for growth.
+	headroom = 1.25
+	// maxShrinkFactor limits how far a report can reduce a task's need below the
+	// usage expected of its queue.
+	maxShrinkFactor = 4.0
+	throttledRate   = 0.25
+	// maxQuarantinedFraction is the maximum fraction of workers in quarantine. If
+	// more of them fail, the workers are not the cause.
+	maxQuarantinedFraction = 0.5
 )
 
-// ThrottledRate is the speed of a throttled task, as a part of full speed.
+// ThrottledRate is the speed of a throttled task as a fraction of full speed.
 const ThrottledRate = throttledRate
 
-// Class orders work; what is urgent goes first.
+// Class is the priority class of a task.
 type Class string
 
 // Classes, from first to last.
@@ -55,7 +58,8 @@
 	return []Class{Urgent, Normal, Batch}
 }
 
-// Rank is the class's place in Classes; unknown classes come last.
+// Rank returns the index of the class in Classes. Unknown classes have the rank
+// of the last one.
 func (c Class) Rank() int {
 	switch c {
 	case Urgent:
@@ -67,12 +71,12 @@
 	}
 }
 
-// above reports whether the class goes before the other.
-func (c Class) above(other Class) bool {
+// before reports whether the class has priority over the other.
+func (c Class) before(other Class) bool {
 	return c.Rank() < other.Rank()
 }
 
-// Demand is a task that needs a worker.
+// Demand describes a task that needs a worker.
 type Demand struct {
 	Task     string
 	Queue    string
@@ -81,9 +85,9 @@
 	RunTime  time.Duration
 	// Avoid names the workers on which the task failed.
 	Avoid []string
-	// MemoryFailures counts the runs that failed for want of memory.
+	// MemoryFailures counts the runs that failed for lack of memory.
 	MemoryFailures int
-	// Movable tasks may be checkpointed and started elsewhere.
+	// Movable means that the task may be checkpointed and restarted elsewhere.
 	Movable bool
 	Waited  time.Duration
 }
@@ -93,17 +97,19 @@
 
 // Outcomes of Choose.
 const (
-	// Placed names the worker that has room.
+	// Placed means that the worker has free capacity for the task.
 	Placed Outcome = "placed"
-	// Preempts names the worker that has room once Checkpoint has been done.
+	// Preempts means that the worker has free capacity once the tasks in
+	// Checkpoint are checkpointed.
 	Preempts Outcome = "preempts"
-	// Waits means that no worker has room now.
+	// Waits means that no worker has free capacity for the task now.
 	Waits Outcome = "waits"
-	// Exhausted means that every worker the task fits is to be avoided.
+	// Exhausted means that the task must avoid every worker that it fits.
 	Exhausted Outcome = "exhausted"
 )
 
-// Decision says where a task goes and which tasks make room for it.
+// Decision names the worker for a task, and the tasks to throttle and to
+// checkpoint for it.
 type Decision struct {
 	Outcome    Outcome
 	Worker     string
@@ -111,41 +117,42 @@
 	Checkpoint []string
 }
 
-// Result is how a task left its worker.
+// Result is the result of a run.
 type Result string
 
-// Results of a run, as Release takes them.
+// Results of a run.
 const (
 	Succeeded Result = "succeeded"
 	Failed    Result = "failed"
-	// Ended is any other end: stopped, checkpointed, lost with its worker.
+	// Ended is any other end: stopped, checkpointed, or lost with its worker.
 	Ended Result = "ended"
 )
 
-// Config holds the policy's switches, for measuring it against its baselines.
+// Config configures a Placer.
 type Config struct {
-	// TrustDeclared takes declared sizes as they are.
+	// TrustDeclared disables the correction of declared sizes, as a baseline for
+	// comparisons.
 	TrustDeclared bool
 }
 
-// Placer holds the workers of one pool.
+// Placer places tasks on the workers of one pool.
 type Placer struct {
 	cfg       Config
 	workers   map[string]*worker
 	names     []string
-	tasks     map[string]*held
+	tasks     map[string]*placedTask
 	estimates map[string]*estimate
-	// failures maps a task to the workers it failed on, for telling bad workers
-	// from bad tasks.
+	// failures maps a task to the workers it failed on, to distinguish failures
+	// caused by the worker from those caused by the task.
 	failures map[string][]string
-	// holds maps a task to the worker whose room is kept for it.
-	holds     map[string]*worker
-	throttled map[string]*held
-	// spread counts each queue's tasks in each rack.
+	// reservations maps a task to the worker that is reserved for it.
+	reservations map[string]*worker
+	throttled    map[string]*placedTask
+	// spread counts the tasks of each queue in each rack.
 	spread map[rackQueue]int
 }
 
-// rackQueue is one queue's part of a rack.
+// rackQueue identifies a queue in a rack.
 type rackQueue struct {
 	dataCentre string
 	rack       string
@@ -155,23 +162,24 @@
 // New returns a placer without workers.
 func New(cfg Config) *Placer {
 	return &Placer{
-		cfg:       cfg,
-		workers:   make(map[string]*worker),
-		tasks:     make(map[string]*held),
-		estimates: make(map[string]*estimate),
-		failures:  make(map[string][]string),
-		holds:     make(map[string]*worker),
-		throttled: make(map[string]*held),
-		spread:    make(map[rackQueue]int),
+		cfg:          cfg,
+		workers:      make(map[string]*worker),
+		tasks:        make(map[string]*placedTask),
+		estimates:    make(map[string]*estimate),
+		failures:     make(map[string][]string),
+		reservations: make(map[string]*worker),
+		throttled:    make(map[string]*placedTask),
+		spread:       make(map[rackQueue]int),
 	}
 }
 
-// Join adds a worker, or updates the one of that name and lets it take work.
+// Join adds a worker, or updates the worker of that name and makes it available
+// again.
 func (p *Placer) Join(description Worker) {
-	if known, ok := p.workers[description.Name]; ok {
-		p.move(known, description)
-		known.leaving = false
-		known.gone = false
+	if existing, ok := p.workers[description.Name]; ok {
+		p.updateWorker(existing, description)
+		existing.leaving = false
+		existing.gone = false
 		return
 	}
 	p.workers[description.Name] = newWorker(description)
@@ -179,56 +187,58 @@
 	p.names = slices.Insert(p.names, at, description.Name)
 }
 
-// move changes a worker's description and with it the counts of its rack.
-func (p *Placer) move(known *worker, description Worker) {
-	for _, task := range known.tasks {
-		p.count(task, -1)
+// updateWorker replaces a worker's description and adjusts the task counts of its
+// old and new rack.
+func (p *Placer) updateWorker(w *worker, description Worker) {
+	for _, task := range w.tasks {
+		p.adjustSpread(task, -1)
 	}
-	known.Worker = description
-	for _, task := range known.tasks {
-		p.count(task, 1)
+	w.Worker = description
+	for _, task := range w.tasks {
+		p.adjustSpread(task, 1)
 	}
 }
 
-// Leave keeps new tasks from a worker.
+// Leave stops the placement of new tasks on a worker.
 func (p *Placer) Leave(name string) {
-	if known, ok := p.workers[name]; ok {
-		known.leaving = true
+	if w, ok := p.workers[name]; ok {
+		w.leaving = true
 	}
 }
 
-// Silent says whether the worker has stopped answering; a silent worker gets
-// nothing new.
-func (p *Placer) Silent(name string, silent bool) {
-	if known, ok := p.workers[name]; ok {
-		known.silent = silent
+// SetSilent sets whether the worker has stopped responding. A silent worker gets
+// no new tasks.
+func (p *Placer) SetSilent(name string, silent bool) {
+	if w, ok := p.workers[name]; ok {
+		w.silent = silent
 	}
 }
 
-// Gone removes a worker once nothing is held there.
-func (p *Placer) Gone(name string) {
-	known, ok := p.workers[name]
+// Remove stops the placement of new tasks on a worker and removes it once it
+// holds no tasks.
+func (p *Placer) Remove(name string) {
+	w, ok := p.workers[name]
 	if !ok {
 		return
 	}
-	known.leaving = true
-	known.gone = true
-	p.sweep(known)
+	w.leaving = true
+	w.gone = true
+	p.removeIfEmpty(w)
 }
 
-// sweep removes a worker that is gone and empty.
-func (p *Placer) sweep(known *worker) {
-	if !known.gone || len(known.tasks) > 0 {
+// removeIfEmpty removes a worker that is to be removed and holds no tasks.
+func (p *Placer) removeIfEmpty(w *worker) {
+	if !w.gone || len(w.tasks) > 0 {
 		return
 	}
-	name := known.Name
+	name := w.Name
 	delete(p.workers, name)
 	at, _ := slices.BinarySearch(p.names, name)
 	p.names = slices.Delete(p.names, at, at+1)
 }
 
-// Fits reports whether an empty worker could ever run the declared size, and
-// whether there is any worker to judge by.
+// Fits reports whether any worker, when empty, could run a task of the declared
+// size. The result is known only if there is a worker.
 func (p *Placer) Fits(declared Size) (fits, known bool) {
 	for _, w := range p.workers {
 		if declared.Fits(w.Size) {
@@ -238,19 +248,20 @@
 	return false, len(p.workers) > 0
 }
 
-// Need is what the task is expected to use, at most a whole worker.
+// Need returns the expected usage of the task, at most a whole worker. Memory is
+// doubled for each run that failed for lack of memory.
 func (p *Placer) Need(d Demand) Size {
 	need := d.Declared
 	if !p.cfg.TrustDeclared {
 		need = p.estimate(d.Queue).need(d.Declared)
 	}
 	need.Memory = scaleMemory(need.Memory, float64(int(1)<<min(d.MemoryFailures, 8)))
-	return p.bounded(need, d.Declared)
+	return p.capToLargestWorker(need, d.Declared)
 }
 
-// bounded cuts a need that outgrew the workers down to the largest worker that
-// the declaration fits.
-func (p *Placer) bounded(need, declared Size) Size {
+// capToLargestWorker limits a need that fits no worker to the size of the largest
+// worker that the declaration fits.
+func (p *Placer) capToLargestWorker(need, declared Size) Size {
 	var largest Size
 	for _, name := range p.names {
 		size := p.workers[name].Size
@@ -269,12 +280,12 @@
 	return need
 }
 
-// estimate returns what is known of a queue.
+// estimate returns the estimate of a queue, creating it if needed.
 func (p *Placer) estimate(queue string) *estimate {
-	known, ok := p.estimates[queue]
+	existing, ok := p.estimates[queue]
 	if !ok {
-		known = newEstimate()
-		p.estimates[queue] = known
+		existing = newEstimate()
+		p.estimates[queue] = existing
 	}
-	return known
+	return existing
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// put chooses a worker for the demand and places it there.
-func put(t *testing.T, placer *place.Placer, now time.Time, d place.Demand) place.Decision {
+// chooseAndPlace chooses a worker for the demand and places the task there.
+func chooseAndPlace(t *testing.T, placer *place.Placer, now time.Time, d place.Demand) place.Decision {
 	t.Helper()
 	decision := placer.Choose(now, d)
 	if decision.Outcome == place.Placed {
@@ -56,11 +56,11 @@
 		wantCheckpoint int
 	}{
 		"empty pool":             {demand: demand("a", place.Normal, 1, 1), want: place.Waits},
-		"room":                   {workers: 1, demand: demand("a", place.Normal, 16, 64), want: place.Placed},
+		"free worker":            {workers: 1, demand: demand("a", place.Normal, 16, 64), want: place.Placed},
 		"full":                   {workers: 1, held: []place.Demand{demand("b", place.Normal, 10, 1)}, demand: demand("a", place.Normal, 10, 1), want: place.Waits},
 		"leaving":                {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.Leave("worker-0") }, want: place.Waits},
-		"silent":                 {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.Silent("worker-0", true) }, want: place.Waits},
-		"gone":                   {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.Gone("worker-0") }, want: place.Waits},
+		"silent":                 {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.SetSilent("worker-0", true) }, want: place.Waits},
+		"gone":                   {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.Remove("worker-0") }, want: place.Waits},
 		"avoided everywhere":     {workers: 1, demand: place.Demand{Task: "a", Avoid: []string{"worker-0"}}, want: place.Exhausted},
 		"urgent throttles":       {workers: 1, held: []place.Demand{demand("b", place.Batch, 16, 1)}, demand: demand("a", place.Urgent, 10, 1), want: place.Placed, wantThrottle: 1},
 		"urgent checkpoints":     {workers: 1, held: []place.Demand{demand("b", place.Normal, 1, 60)}, demand: demand("a", place.Urgent, 1, 10), want: place.Preempts, wantCheckpoint: 1},
@@ -94,44 +94,44 @@
 	}
 }
 
-func TestUrgentTakesRoomAndGivesItBack(t *testing.T) {
+func TestUrgentTaskThrottlesOthers(t *testing.T) {
 	placer := pool(place.Config{}, 1)
-	put(t, placer, start, demand("slow", place.Batch, 16, 4))
+	chooseAndPlace(t, placer, start, demand("slow", place.Batch, 16, 4))
 	urgent := demand("urgent", place.Urgent, 8, 4)
-	decision := put(t, placer, start, urgent)
+	decision := chooseAndPlace(t, placer, start, urgent)
 	if got, want := decision.Throttle, []string{"slow"}; !slices.Equal(got, want) {
 		t.Fatalf("throttled: got %v, want %v", got, want)
 	}
 	later := start.Add(time.Minute)
-	if got := placer.Restore(later); len(got) != 0 {
-		t.Errorf("restored under urgent work: got %v, want none", got)
+	if got := placer.Unthrottle(later); len(got) != 0 {
+		t.Errorf("restored while urgent work runs: got %v, want none", got)
 	}
 	placer.Release(later, "urgent", place.Succeeded)
-	if got, want := placer.Restore(later), []string{"slow"}; !slices.Equal(got, want) {
+	if got, want := placer.Unthrottle(later), []string{"slow"}; !slices.Equal(got, want) {
 		t.Errorf("restored: got %v, want %v", got, want)
 	}
 }
 
-func TestStarvingTaskGetsRoom(t *testing.T) {
+func TestStarvingTaskGetsReservation(t *testing.T) {
 	placer := pool(place.Config{}, 1)
-	put(t, placer, start, demand("small-0", place.Normal, 8, 1))
-	put(t, placer, start, demand("small-1", place.Normal, 8, 1))
+	chooseAndPlace(t, placer, start, demand("small-0", place.Normal, 8, 1))
+	chooseAndPlace(t, placer, start, demand("small-1", place.Normal, 8, 1))
 	large := demand("large", place.Normal, 16, 1)
 	large.Waited = time.Minute
-	put(t, placer, start, large)
+	chooseAndPlace(t, placer, start, large)
 	placer.Release(start, "small-0", place.Succeeded)
-	if got, want := put(t, placer, start, demand("small-2", place.Normal, 8, 1)).Outcome, place.Waits; got != want {
+	if got, want := chooseAndPlace(t, placer, start, demand("small-2", place.Normal, 8, 1)).Outcome, place.Waits; got != want {
 		t.Errorf("small task beside a starving one: got %s, want %s", got, want)
 	}
 	placer.Release(start, "small-1", place.Succeeded)
-	if got, want := put(t, placer, start, large).Outcome, place.Placed; got != want {
+	if got, want := chooseAndPlace(t, placer, start, large).Outcome, place.Placed; got != want {
 		t.Errorf("starving task: got %s, want %s", got, want)
 	}
 }
 
-// TestHoldEndsWithItsWorker wants room kept elsewhere when the worker whose room
-// was kept leaves.
-func TestHoldEndsWithItsWorker(t *testing.T) {
+// TestReservationEndsWithWorker checks that another worker is reserved when the
+// reserved one leaves.
+func TestReservationEndsWithWorker(t *testing.T) {
 	placer := pool(place.Config{}, 2)
 	for i := range 2 {
 		placer.Place(start, demand(fmt.Sprint("held-", i), place.Normal, 8, 1), fmt.Sprint("worker-", i))
@@ -142,12 +142,12 @@
 	placer.Leave("worker-0")
 	placer.Choose(start, large)
 	states := placer.Dump()
-	if got, want := []string{states[0].Hold, states[1].Hold}, []string{"", "large"}; !slices.Equal(got, want) {
-		t.Errorf("holds: got %q, want %q", got, want)
+	if got, want := []string{states[0].Reservation, states[1].Reservation}, []string{"", "large"}; !slices.Equal(got, want) {
+		t.Errorf("reservations: got %q, want %q", got, want)
 	}
 }
 
-func TestNeedLearns(t *testing.T) {
+func TestNeedFollowsUsage(t *testing.T) {
 	tests := map[string]struct {
 		cfg   place.Config
 		usage int64
@@ -164,8 +164,8 @@
 			now := start
 			for i := range 40 {
 				d := demand(fmt.Sprintf("task-%d", i), place.Normal, 1, 8)
-				put(t, placer, now, d)
-				placer.Report(now, d.Task, place.Size{CPUs: 1, Memory: tc.usage * gib})
+				chooseAndPlace(t, placer, now, d)
+				placer.ReportUsage(now, d.Task, place.Size{CPUs: 1, Memory: tc.usage * gib})
 				now = now.Add(time.Minute)
 				placer.Release(now, d.Task, place.Succeeded)
 			}
@@ -176,20 +176,20 @@
 	}
 }
 
-// blameCase is a pool in which the first workers and some tasks always fail.
-type blameCase struct {
+// faultyPool is a pool in which the first workers always fail.
+type faultyPool struct {
 	placer *place.Placer
 	now    time.Time
 	bad    int
 	wasted int
 }
 
-func (c *blameCase) isBad(worker string) bool {
+func (c *faultyPool) isBad(worker string) bool {
 	return worker < fmt.Sprintf("worker-%d", c.bad)
 }
 
-// run tries the task on up to three workers.
-func (c *blameCase) run(t *rapid.T, d place.Demand, poison bool) {
+// run tries the task on up to three workers. A poison task fails on each of them. A poison task fails on each of them.
+func (c *faultyPool) run(t *rapid.T, d place.Demand, poison bool) {
 	for range 3 {
 		c.now = c.now.Add(time.Second)
 		decision := c.placer.Choose(c.now, d)
@@ -210,33 +210,36 @@
 	c.placer.Forget(d.Task)
 }
 
-// TestBlame runs good and bad tasks on good and bad workers and wants few runs
-// wasted on the bad workers and no good worker set aside.
-func TestBlame(t *testing.T) {
+// TestFailureAttribution runs good and poison tasks on good and bad workers. It
+// checks that few runs are wasted on bad workers and that no good worker is
+// quarantined.
+func TestFailureAttribution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const workers = 6
-		c := &blameCase{placer: pool(place.Config{}, workers), now: start}
+		c := &faultyPool{placer: pool(place.Config{}, workers), now: start}
 		c.bad = rapid.IntRange(0, 2).Draw(t, "bad workers")
 		poison := rapid.IntRange(0, 3).Draw(t, "poison tasks of ten")
 		for i := range 200 {
 			c.run(t, demand(fmt.Sprintf("task-%03d", i), place.Normal, 2, 2), i%10 < poison)
 		}
-		// Each rest is twice the last: few runs are wasted on bad workers.
+		// Each quarantine is twice as long as the last, so that few runs are
+		// wasted on bad workers.
 		if got, want := c.wasted, 12*c.bad; got > want {
 			t.Errorf("runs on bad workers: got %d, want at most %d", got, want)
 		}
 		for _, w := range c.placer.Dump() {
-			aside := w.AsideUntil != "" && w.AsideUntil > c.now.Format(time.RFC3339)
-			if aside && !c.isBad(w.Name) {
-				t.Errorf("good worker %s is set aside", w.Name)
+			quarantined := w.QuarantinedUntil != "" && w.QuarantinedUntil > c.now.Format(time.RFC3339)
+			if quarantined && !c.isBad(w.Name) {
+				t.Errorf("good worker %s is quarantined", w.Name)
 			}
 		}
 	})
 }
 
-// TestRoomIsNeverOverdrawn places and releases at random; trusted declarations
-// must never exceed a worker, and nothing may be left counted at the end.
-func TestRoomIsNeverOverdrawn(t *testing.T) {
+// TestWorkersNeverOvercommitted places and releases tasks at random with trusted
+// declarations. It checks that the sum of the needs never exceeds a worker's
+// size, and is zero once all tasks are released.
+func TestWorkersNeverOvercommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		placer := pool(place.Config{TrustDeclared: true}, 3)
 		held := map[string]bool{}
@@ -246,7 +249,7 @@
 			if rapid.Bool().Draw(t, "release") && len(held) > 0 {
 				task := rapid.SampledFrom(sortedKeys(held)).Draw(t, "task")
 				placer.Release(now, task, rapid.SampledFrom([]place.Result{place.Succeeded, place.Ended}).Draw(t, "result"))
-				placer.Restore(now)
+				placer.Unthrottle(now)
 				delete(held, task)
 				continue
 			}
--- a/internal/place/placement.go
+++ b/internal/place/placement.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// Place counts the task on the worker. It is called for each placement in
-// force, also for those found when a manager takes over.
+// Place records the placement of the task on the worker. It is also called for
+// existing placements when a manager takes over.
 func (p *Placer) Place(now time.Time, d Demand, name string) {
-	p.drop(d.Task)
+	p.removeTask(d.Task)
 	w, ok := p.workers[name]
 	if !ok {
-		// A placement from before: the worker is known by name only.
+		// An existing placement on a worker that has not joined: only its name
+		// is known.
 		w = newWorker(Worker{Name: name})
 		w.leaving = true
 		p.workers[name] = w
 		at, _ := slices.BinarySearch(p.names, name)
 		p.names = slices.Insert(p.names, at, name)
 	}
-	task := &held{demand: d, worker: w, need: p.Need(d), placed: now}
+	task := &placedTask{demand: d, worker: w, need: p.Need(d), placedAt: now}
 	p.tasks[d.Task] = task
-	p.releaseHold(d.Task)
+	p.releaseReservation(d.Task)
 	w.add(task)
-	p.count(task, 1)
+	p.adjustSpread(task, 1)
 }
 
-// count adds to the tasks of the queue in the rack of the task's worker.
-func (p *Placer) count(task *held, n int) {
+// adjustSpread adds n to the count of the queue's tasks in the rack of the task's
+// worker.
+func (p *Placer) adjustSpread(task *placedTask, n int) {
 	where := rackQueue{dataCentre: task.worker.DataCentre, rack: task.worker.Rack, queue: task.demand.Queue}
 	p.spread[where] += n
 	if p.spread[where] == 0 {
@@ -34,106 +36,108 @@
 	}
 }
 
-// releaseHold gives up the room kept for a task.
-func (p *Placer) releaseHold(task string) {
-	w, ok := p.holds[task]
+// releaseReservation drops the reservation for a task, if any.
+func (p *Placer) releaseReservation(task string) {
+	w, ok := p.reservations[task]
 	if !ok {
 		return
 	}
-	delete(p.holds, task)
-	if w.hold != nil && w.hold.task == task {
-		w.hold = nil
+	delete(p.reservations, task)
+	if w.reservation != nil && w.reservation.task == task {
+		w.reservation = nil
 	}
 }
 
-// Report takes in the usage that a worker reported for a task.
-func (p *Placer) Report(now time.Time, task string, usage Size) {
-	known, ok := p.tasks[task]
+// ReportUsage records the usage that a worker reported for a task.
+func (p *Placer) ReportUsage(now time.Time, task string, usage Size) {
+	placed, ok := p.tasks[task]
 	if !ok || p.cfg.TrustDeclared {
 		return
 	}
-	before := known.need
-	known.observe(now, usage, p.estimate(known.demand.Queue).need(known.demand.Declared))
-	// The sum's rounding errors go with the next task that leaves.
-	known.worker.used = known.worker.used.Minus(before).Plus(known.need)
+	before := placed.need
+	placed.observe(now, usage, p.estimate(placed.demand.Queue).need(placed.demand.Declared))
+	// Rounding errors are removed by the recount when the next task leaves.
+	placed.worker.used = placed.worker.used.Minus(before).Plus(placed.need)
 }
 
-// Release ends a task's placement and learns from how it went.
+// Release ends a task's placement, and updates the queue's estimate and the
+// worker's health with the result.
 func (p *Placer) Release(now time.Time, task string, result Result) {
-	known, ok := p.tasks[task]
+	placed, ok := p.tasks[task]
 	if !ok {
 		return
 	}
-	p.drop(task)
-	learned := p.estimate(known.demand.Queue)
+	p.removeTask(task)
+	queueEstimate := p.estimate(placed.demand.Queue)
 	if result != Ended {
-		learned.learn(known.demand.Declared, known.peak)
+		queueEstimate.observeUsage(placed.demand.Declared, placed.peak)
 	}
 	switch result {
 	case Succeeded:
-		learned.learnRunTime(known.demand.RunTime, now.Sub(known.placed))
-		known.worker.health.succeeded()
-		p.acquit(now, task, known.worker)
+		queueEstimate.observeRunTime(placed.demand.RunTime, now.Sub(placed.placedAt))
+		placed.worker.health.recordSuccess()
+		p.attributeEarlierFailures(now, task, placed.worker)
 	case Failed:
-		p.blame(now, task, known.worker)
+		p.attributeFailure(now, task, placed.worker)
 	}
 }
 
-// Forget drops what is remembered of a task that will not run again.
+// Forget drops all state of a task that will not run again.
 func (p *Placer) Forget(task string) {
-	p.drop(task)
+	p.removeTask(task)
 	delete(p.failures, task)
-	p.releaseHold(task)
+	p.releaseReservation(task)
 }
 
-// blame decides whether a failure is the worker's or the task's: a task that
-// fails on a second worker is itself at fault, on both.
-func (p *Placer) blame(now time.Time, task string, at *worker) {
+// attributeFailure attributes a failure to the worker or to the task. A task that
+// fails on a second worker is considered the cause of its failures on both.
+func (p *Placer) attributeFailure(now time.Time, task string, at *worker) {
 	earlier := p.failures[task]
 	if !slices.Contains(earlier, at.Name) {
 		p.failures[task] = append(earlier, at.Name)
 	}
 	if len(p.failures[task]) == 1 {
-		at.health.failed(now, task, p.mayRest(now))
+		at.health.recordFailure(now, task, p.mayQuarantine(now))
 		return
 	}
 	for _, name := range p.failures[task] {
 		if w, ok := p.workers[name]; ok {
-			w.health.explained(task)
+			w.health.dropFailure(task)
 		}
 	}
 }
 
-// acquit clears a task that succeeded: its failures elsewhere were the workers'.
-func (p *Placer) acquit(now time.Time, task string, at *worker) {
+// attributeEarlierFailures attributes the earlier failures of a task that has
+// succeeded to the workers on which it failed.
+func (p *Placer) attributeEarlierFailures(now time.Time, task string, at *worker) {
 	for _, name := range p.failures[task] {
-		if w, ok := p.workers[name]; ok && w != at && !w.health.suspects(task) {
-			w.health.failed(now, task, p.mayRest(now))
+		if w, ok := p.workers[name]; ok && w != at && !w.health.hasFailure(task) {
+			w.health.recordFailure(now, task, p.mayQuarantine(now))
 		}
 	}
 	delete(p.failures, task)
 }
 
-// mayRest reports whether one more worker may be set aside.
-func (p *Placer) mayRest(now time.Time) bool {
-	aside := 0
+// mayQuarantine reports whether one more worker may be quarantined.
+func (p *Placer) mayQuarantine(now time.Time) bool {
+	quarantined := 0
 	for _, w := range p.workers {
-		if w.health.aside(now) {
-			aside++
+		if w.health.quarantined(now) {
+			quarantined++
 		}
 	}
-	return float64(aside+1) <= asideBound*float64(len(p.workers))
+	return float64(quarantined+1) <= maxQuarantinedFraction*float64(len(p.workers))
 }
 
-// drop takes a task off its worker.
-func (p *Placer) drop(task string) {
-	known, ok := p.tasks[task]
+// removeTask removes a task from its worker.
+func (p *Placer) removeTask(task string) {
+	placed, ok := p.tasks[task]
 	if !ok {
 		return
 	}
 	delete(p.tasks, task)
 	delete(p.throttled, task)
-	p.count(known, -1)
-	known.worker.remove(known)
-	p.sweep(known.worker)
+	p.adjustSpread(placed, -1)
+	placed.worker.remove(placed)
+	p.removeIfEmpty(placed.worker)
 }
--- a/internal/place/size.go
+++ b/internal/place/size.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Size is an amount of processors, bytes of memory and accelerators.
+// Size is an amount of processors, memory in bytes, and accelerators.
 type Size struct {
 	CPUs         float64 `json:"cpus"`
 	Memory       int64   `json:"memory"`
@@ -27,15 +27,15 @@
 	}
 }
 
-// Fits reports whether the size is within room.
-func (s Size) Fits(room Size) bool {
-	// Sums of fractions of a processor may miss an integer by a rounding error.
+// Fits reports whether the size fits into the available size.
+func (s Size) Fits(available Size) bool {
+	// Sums of fractional processors may exceed an integer by a rounding error.
 	const slack = 1e-9
-	return s.CPUs <= room.CPUs+slack && s.Memory <= room.Memory && s.Accelerators <= room.Accelerators
+	return s.CPUs <= available.CPUs+slack && s.Memory <= available.Memory && s.Accelerators <= available.Accelerators
 }
 
-// largest returns the larger of each amount.
-func (s Size) largest(other Size) Size {
+// componentMax returns the larger of the two for each resource.
+func (s Size) componentMax(other Size) Size {
 	return Size{
 		CPUs:         max(s.CPUs, other.CPUs),
 		Memory:       max(s.Memory, other.Memory),
@@ -43,22 +43,23 @@
 	}
 }
 
-// fraction is the greatest part of whole that the size takes of any amount.
-func (s Size) fraction(whole Size) float64 {
-	part := 0.0
+// fractionOf returns the largest fraction of whole that the size takes of any
+// resource.
+func (s Size) fractionOf(whole Size) float64 {
+	fraction := 0.0
 	if whole.CPUs > 0 {
-		part = max(part, s.CPUs/whole.CPUs)
+		fraction = max(fraction, s.CPUs/whole.CPUs)
 	}
 	if whole.Memory > 0 {
-		part = max(part, float64(s.Memory)/float64(whole.Memory))
+		fraction = max(fraction, float64(s.Memory)/float64(whole.Memory))
 	}
 	if whole.Accelerators > 0 {
-		part = max(part, float64(s.Accelerators)/float64(whole.Accelerators))
+		fraction = max(fraction, float64(s.Accelerators)/float64(whole.Accelerators))
 	}
-	return part
+	return fraction
 }
 
-// scaleMemory multiplies memory without overflow.
+// scaleMemory multiplies memory by a factor, limited to math.MaxInt64.
 func scaleMemory(memory int64, factor float64) int64 {
 	scaled := float64(memory) * factor
 	if scaled >= math.MaxInt64 {
--- a/internal/place/worker.go
+++ b/internal/place/worker.go
@@ -14,52 +14,53 @@
 	Size       Size   `json:"size"`
 }
 
-// worker is a worker with what it holds.
+// worker is the placer's state of a worker.
 type worker struct {
 	Worker
-	health  *health
-	leaving bool
-	silent  bool
-	gone    bool
-	used    Size
-	tasks   map[string]*held
-	hold    *hold
+	health      *health
+	leaving     bool
+	silent      bool
+	gone        bool
+	used        Size
+	tasks       map[string]*placedTask
+	reservation *reservation
 }
 
-// newWorker returns an empty worker.
+// newWorker returns a worker without tasks.
 func newWorker(description Worker) *worker {
-	return &worker{Worker: description, health: newHealth(), tasks: make(map[string]*held)}
+	return &worker{Worker: description, health: newHealth(), tasks: make(map[string]*placedTask)}
 }
 
-// room is what is left of the worker.
-func (w *worker) room() Size {
+// free returns the unused part of the worker.
+func (w *worker) free() Size {
 	return w.Size.Minus(w.used)
 }
 
-// open reports whether the worker may get the task at all now.
-func (w *worker) open(now time.Time, d Demand) bool {
+// accepts reports whether the worker may get the task now, apart from the task's
+// size.
+func (w *worker) accepts(now time.Time, d Demand) bool {
 	if w.leaving || w.silent || slices.Contains(d.Avoid, w.Name) {
 		return false
 	}
-	if w.hold.blocks(now, d) {
+	if w.reservation.blocks(now, d) {
 		return false
 	}
 	return w.health.allows(now, len(w.tasks))
 }
 
-// add counts a task.
-func (w *worker) add(task *held) {
+// add adds a task and its need.
+func (w *worker) add(task *placedTask) {
 	w.tasks[task.demand.Task] = task
 	w.used = w.used.Plus(task.need)
 }
 
-// remove takes a task out of the count.
-func (w *worker) remove(task *held) {
+// remove removes a task and its need.
+func (w *worker) remove(task *placedTask) {
 	delete(w.tasks, task.demand.Task)
 	w.recount()
 }
 
-// recount sums the needs afresh, so that rounding errors do not add up.
+// recount recomputes the sum of all needs, so that rounding errors do not add up.
 func (w *worker) recount() {
 	w.used = Size{}
 	for _, task := range w.sorted() {
@@ -67,58 +68,58 @@
 	}
 }
 
-// sorted returns the tasks in the order of their names.
-func (w *worker) sorted() []*held {
-	tasks := make([]*held, 0, len(w.tasks))
+// sorted returns the tasks sorted by name.
+func (w *worker) sorted() []*placedTask {
+	tasks := make([]*placedTask, 0, len(w.tasks))
 	for _, task := range w.tasks {
 		tasks = append(tasks, task)
 	}
-	slices.SortFunc(tasks, func(a, b *held) int { return strings.Compare(a.demand.Task, b.demand.Task) })
+	slices.SortFunc(tasks, func(a, b *placedTask) int { return strings.Compare(a.demand.Task, b.demand.Task) })
 	return tasks
 }
 
-// hold keeps a worker's room for one task until it has been placed.
-type hold struct {
+// reservation reserves a worker for one task until the task has been placed.
+type reservation struct {
 	task  string
 	class Class
 	until time.Time
 }
 
-// blocks reports whether the hold keeps another task out.
-func (h *hold) blocks(now time.Time, d Demand) bool {
-	return h.inForce(now) && h.task != d.Task && !d.Class.above(h.class)
+// blocks reports whether the reservation excludes the task.
+func (h *reservation) blocks(now time.Time, d Demand) bool {
+	return h.inForce(now) && h.task != d.Task && !d.Class.before(h.class)
 }
 
-// inForce reports whether there is a hold that has not run out.
-func (h *hold) inForce(now time.Time) bool {
+// inForce reports whether there is a reservation that has not expired.
+func (h *reservation) inForce(now time.Time) bool {
 	return h != nil && now.Before(h.until)
 }
 
-// held is a task on its worker.
-type held struct {
-	demand Demand
-	worker *worker
-	need   Size
-	peak   Size
-	placed time.Time
-	// throttled is set while a more urgent task has the processors.
+// placedTask is a task that is placed on a worker.
+type placedTask struct {
+	demand   Demand
+	worker   *worker
+	need     Size
+	peak     Size
+	placedAt time.Time
+	// throttled is set while a more urgent task uses the task's processors.
 	throttled bool
-	// going is set when the task was told to make room.
-	going bool
+	// checkpointing is set once the task has been chosen for a checkpoint.
+	checkpointing bool
 }
 
-// observe takes in a lagging usage report and corrects the need.
-func (h *held) observe(now time.Time, usage Size, expected Size) {
-	h.peak = h.peak.largest(usage)
-	if now.Sub(h.placed) < settleTime {
-		h.need = h.need.largest(h.peak)
+// observe records a usage report, which may lag, and updates the need.
+func (h *placedTask) observe(now time.Time, usage Size, expected Size) {
+	h.peak = h.peak.componentMax(usage)
+	if now.Sub(h.placedAt) < warmUpTime {
+		h.need = h.need.componentMax(h.peak)
 		return
 	}
-	// A task may still grow: keep headroom, and never less than a part of what
-	// is expected of its queue.
+	// The task may still grow, so keep headroom and at least a fraction of the
+	// usage expected of its queue.
 	h.need = Size{
-		CPUs:         max(h.peak.CPUs*headroom, expected.CPUs/trustBound),
-		Memory:       max(scaleMemory(h.peak.Memory, headroom), scaleMemory(expected.Memory, 1/trustBound)),
+		CPUs:         max(h.peak.CPUs*headroom, expected.CPUs/maxShrinkFactor),
+		Memory:       max(scaleMemory(h.peak.Memory, headroom), scaleMemory(expected.Memory, 1/maxShrinkFactor)),
 		Accelerators: h.demand.Declared.Accelerators,
 	}
 	if h.throttled {
--- a/internal/task/answer.go
+++ b/internal/task/answer.go
@@ -137,7 +137,7 @@
 
 // takeRunning notes that the attempt runs and what it uses.
 func (c *Controller) takeRunning(now time.Time, it *item, record Record, answer Answer) {
-	c.cfg.Placer.Report(now, record.Name(), answer.Usage)
+	c.cfg.Placer.ReportUsage(now, record.Name(), answer.Usage)
 	if record.State == Running {
 		return
 	}
--- a/internal/task/link.go
+++ b/internal/task/link.go
@@ -118,7 +118,7 @@
 	if known, ok := c.links[worker]; ok {
 		known.silent = silent
 	}
-	c.cfg.Placer.Silent(worker, silent)
+	c.cfg.Placer.SetSilent(worker, silent)
 }
 
 // Workers names the workers that are not known to be gone, so that those which
@@ -156,7 +156,7 @@
 // than the list lags: none of its processes will answer again. Silence alone
 // is no reason to call it.
 func (c *Controller) Gone(now time.Time, worker string) {
-	c.cfg.Placer.Gone(worker)
+	c.cfg.Placer.Remove(worker)
 	known, ok := c.links[worker]
 	if !ok {
 		return
--- a/internal/task/schedule.go
+++ b/internal/task/schedule.go
@@ -229,7 +229,7 @@
 
 // restore brings throttled tasks back to full speed where there is room.
 func (c *Controller) restore(now time.Time) {
-	for _, name := range c.cfg.Placer.Restore(now) {
+	for _, name := range c.cfg.Placer.Unthrottle(now) {
 		c.makeRoom(now, name, func(it *item) { it.wantRate = 1 })
 	}
 }
--- a/internal/task/submit.go
+++ b/internal/task/submit.go
@@ -73,7 +73,7 @@
 // retryAfter estimates when a place in a full queue will be free: each running
 // task frees one when it ends.
 func (c *Controller) retryAfter(key LaneKey, spec Spec, open int) time.Duration {
-	each := c.cfg.Placer.Expected(spec.Queue, spec.RunTime.Duration)
+	each := c.cfg.Placer.ExpectedRunTime(spec.Queue, spec.RunTime.Duration)
 	excess := 1 + open - c.limit(key).MaxOpen
 	wait := each * time.Duration(excess) / time.Duration(max(1, c.running[key]))
 	return min(max(wait, shortestRetry), longestRetry)
