--- a/internal/share/bench_test.go
+++ b/internal/share/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkDivision takes one peer's demand and a tick at a full service: two
+// BenchmarkDivision measures SetPeer and Tick with all slots in use, which is two
 // divisions.
 func BenchmarkDivision(b *testing.B) {
 	for _, n := range []struct{ entries, flows int }{{7, 6}, {7, 30}, {7, 65}, {7, 130}, {14, 130}, {24, 130}, {48, 130}} {
@@ -30,7 +30,7 @@
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(10 * time.Microsecond)
 				s.SetPeer(now, demands[i%len(demands)])
-				s.Tick(now.Add(minRecompute))
+				s.Tick(now.Add(minDivideInterval))
 			}
 		})
 	}
--- a/internal/share/config.go
+++ b/internal/share/config.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Config constructs a Scheduler. Zero values take the defaults below.
+// Config configures a Scheduler. Zero values take the defaults below.
 type Config struct {
-	// Entry is this entry's name, unique in the fleet.
+	// Entry is the name of this entry, unique in the fleet.
 	Entry string
-	// Weights gives each team's share; a missing team counts as 1.
+	// Weights holds the weight of each team. The default is 1.
 	Weights map[string]float64
-	// Capacity is the service's slots at healthy endpoints, fleet-wide.
+	// Capacity is the number of the service's slots at healthy endpoints,
+	// fleet-wide.
 	Capacity int
-	// QueueLimit bounds the queued tickets of one flow at this entry.
+	// QueueLimit is the maximum number of queued tickets of a flow at this entry.
 	QueueLimit int
-	// ExpectedDuration stands for the run time until one is measured.
+	// ExpectedDuration is the assumed run time until one is measured.
 	ExpectedDuration time.Duration
-	// PeerTimeout is the silence after which a peer's demand is dropped.
+	// PeerTimeout is the time after which the demand of a silent peer is dropped.
 	PeerTimeout time.Duration
-	// MaxRetryAfter caps RetryAfter, also for a flow that gets no slots.
+	// MaxRetryAfter limits RetryAfter, also for a flow that gets no slots.
 	MaxRetryAfter time.Duration
 }
 
@@ -33,11 +34,11 @@
 
 const (
 	minRetryAfter     = 10 * time.Millisecond
-	minRecompute      = 2 * time.Millisecond
-	creditLimit       = 500 * time.Millisecond
-	quotaSmoothing    = 2 * time.Second
-	durationSmoothing = 16 // samples
-	debtLimit         = 1  // slot-seconds
+	minDivideInterval = 2 * time.Millisecond
+	maxCredit         = 500 * time.Millisecond
+	quotaTimeConstant = 2 * time.Second
+	durationSamples   = 16 // samples
+	maxDebt           = 1  // slot-seconds
 )
 
 func (c *Config) setDefaults() {
--- a/internal/share/divide.go
+++ b/internal/share/divide.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Division is the result of Divide: who may use how many slots where.
+// Division is the result of Divide.
 type Division struct {
-	// Quota gives slots by entry and flow; fractions are meant over time.
+	// Quota holds the slots by entry and flow. Fractions are averages over time.
 	Quota map[string]map[Flow]float64
-	// Slots gives the whole slots of each entry; they add up to the capacity.
+	// Slots holds the whole slots of each entry. They add up to the capacity.
 	Slots map[string]int
 }
 
-// Divide splits capacity slots over the demands of all entries. A team that
-// has no weight counts as 1. The result does not depend on the demands' order.
+// Divide divides capacity slots among the demands of all entries. A team without
+// a weight has weight 1. The result does not depend on the order of the demands.
 func Divide(capacity int, weights map[string]float64, demands []Demand) Division {
 	sorted := slices.Clone(demands)
 	slices.SortFunc(sorted, func(a, b Demand) int { return cmp.Compare(a.Entry, b.Entry) })
 	flows := flowsOf(sorted)
-	rows := make([]row, len(sorted))
+	rows := make([]entryDemand, len(sorted))
 	for i, demand := range sorted {
-		rows[i] = row{debt: bounded(demand.Debt)}
+		rows[i] = entryDemand{debt: clampSlotSeconds(demand.Debt)}
 		rows[i].fill(flows, demand.Flows)
 	}
 	var div divider
@@ -38,8 +38,8 @@
 	return out
 }
 
-// row is one entry's part of a division: demand and quota by flow.
-type row struct {
+// entryDemand holds one entry's demand and quota by flow during a division.
+type entryDemand struct {
 	demand []float64
 	lag    []float64
 	quota  []float64
@@ -48,26 +48,27 @@
 	slots  int
 }
 
-func (r *row) fill(flows []Flow, demands []FlowDemand) {
+func (r *entryDemand) fill(flows []Flow, demands []FlowDemand) {
 	r.resize(len(flows))
 	clear(r.demand)
 	clear(r.lag)
 	for _, d := range demands {
 		if i, ok := slices.BinarySearchFunc(flows, d.Flow, compareFlows); ok {
 			r.demand[i] += float64(max(0, d.InFlight) + max(0, d.Queued))
-			r.lag[i] += bounded(d.Lag)
+			r.lag[i] += clampSlotSeconds(d.Lag)
 		}
 	}
 }
 
-func (r *row) resize(n int) {
+func (r *entryDemand) resize(n int) {
 	r.demand = slices.Grow(r.demand[:0], n)[:n]
 	r.lag = slices.Grow(r.lag[:0], n)[:n]
 	r.quota = slices.Grow(r.quota[:0], n)[:n]
 }
 
-// bounded keeps what a peer sent from spoiling the sums of a division.
-func bounded(slotSeconds float64) float64 {
+// clampSlotSeconds limits a value received from a peer, so that an invalid one
+// cannot corrupt the sums of a division.
+func clampSlotSeconds(slotSeconds float64) float64 {
 	if math.IsNaN(slotSeconds) {
 		return 0
 	}
@@ -76,22 +77,22 @@
 
 const maxSlotSeconds = 1e6
 
-// divider holds the scratch space of a division, so that repeating it does not
-// allocate.
+// divider holds the scratch space of a division, so that repeated divisions do
+// not allocate.
 type divider struct {
-	total  []float64
-	fair   []float64 // the max-min division
-	weight []float64 // corrected by lag
-	alloc  []float64 // the division by corrected weights
-	column []float64
-	part   []float64
-	ones   []float64
-	order  []int
+	total       []float64
+	fair        []float64 // max-min division by the configured weights
+	weight      []float64 // weights corrected by lag
+	alloc       []float64 // max-min division by the corrected weights
+	demands     []float64
+	allocations []float64
+	ones        []float64
+	order       []int
 }
 
-// divide sets quota, total and slots of each row. Flows are in compareFlows
-// order and rows in the order of their entries' names.
-func (d *divider) divide(capacity int, weights []float64, flows []Flow, rows []row) {
+// divide sets quota, total and slots of each row. Flows must be in compareFlows
+// order and rows sorted by entry name.
+func (d *divider) divide(capacity int, weights []float64, flows []Flow, rows []entryDemand) {
 	d.resize(len(flows), len(rows))
 	for f := range flows {
 		d.total[f] = 0
@@ -106,7 +107,7 @@
 			last++
 		}
 		maxMin(remaining, weights[first:last], d.total[first:last], d.fair[first:last])
-		d.correct(first, last, weights, rows)
+		d.correctWeights(first, last, weights, rows)
 		maxMin(remaining, d.weight[first:last], d.total[first:last], d.alloc[first:last])
 		for _, part := range d.alloc[first:last] {
 			remaining -= part
@@ -120,10 +121,10 @@
 	d.round(capacity, rows)
 }
 
-// correct raises the weight of a flow that has lagged behind its part across
-// the fleet, and lowers that of one ahead. Only a flow that wants more than its
-// part is corrected.
-func (d *divider) correct(first, last int, weights []float64, rows []row) {
+// correctWeights raises the weight of a flow that has lagged behind its fair
+// share across the fleet, and lowers that of a flow that is ahead. It corrects
+// only flows whose demand exceeds their fair share.
+func (d *divider) correctWeights(first, last int, weights []float64, rows []entryDemand) {
 	for f := first; f < last; f++ {
 		d.weight[f] = weights[f]
 		if !d.limited(f) || d.fair[f] == 0 {
@@ -143,7 +144,7 @@
 	maxCorrection = 1.25
 )
 
-// limited reports whether the flow wants more than its part.
+// limited reports whether the flow's demand exceeds its fair share.
 func (d *divider) limited(f int) bool {
 	return d.fair[f] < d.total[f]-roundingTolerance
 }
@@ -153,27 +154,27 @@
 	d.fair = slices.Grow(d.fair[:0], flows)[:flows]
 	d.weight = slices.Grow(d.weight[:0], flows)[:flows]
 	d.alloc = slices.Grow(d.alloc[:0], flows)[:flows]
-	d.column = slices.Grow(d.column[:0], rows)[:rows]
-	d.part = slices.Grow(d.part[:0], rows)[:rows]
+	d.demands = slices.Grow(d.demands[:0], rows)[:rows]
+	d.allocations = slices.Grow(d.allocations[:0], rows)[:rows]
 	d.order = slices.Grow(d.order[:0], rows)[:rows]
 	for len(d.ones) < rows {
 		d.ones = append(d.ones, 1)
 	}
 }
 
-func (d *divider) splitFlow(f int, rows []row) {
+func (d *divider) splitFlow(f int, rows []entryDemand) {
 	for i := range rows {
-		d.column[i] = rows[i].demand[f]
+		d.demands[i] = rows[i].demand[f]
 	}
-	maxMin(d.alloc[f], d.ones[:len(rows)], d.column, d.part)
+	maxMin(d.alloc[f], d.ones[:len(rows)], d.demands, d.allocations)
 	for i := range rows {
-		rows[i].quota[f] = d.part[i]
+		rows[i].quota[f] = d.allocations[i]
 	}
 }
 
-// round turns the entries' quotas into whole slots by largest remainder plus
-// debt, and spreads what nobody wants evenly, so that a burst starts at once.
-func (d *divider) round(capacity int, rows []row) {
+// round converts the entries' quotas into whole slots by largest remainder plus
+// debt. It spreads unrequested slots evenly, so that a burst can start at once.
+func (d *divider) round(capacity int, rows []entryDemand) {
 	sum, whole := 0.0, 0
 	for i := range rows {
 		rows[i].total = 0
@@ -197,26 +198,27 @@
 	}
 }
 
-// roundingTolerance absorbs the float error of a quota that is a whole number.
+// roundingTolerance absorbs the floating-point error of a whole quota.
 const roundingTolerance = 1e-9
 
-// remainder ranks entries for the slots left by rounding down. An entry with a
-// whole quota wants none of them.
-func (r *row) remainder() float64 {
+// remainder returns the entry's rank for the slots left by rounding down. An
+// entry with a whole quota gets none of them.
+func (r *entryDemand) remainder() float64 {
 	fraction := r.total - float64(r.slots)
 	if fraction < roundingTolerance {
 		return math.Inf(-1)
 	}
-	// Quantized so that float error between entries can't change the order.
+	// Quantized so that floating-point errors cannot make entries compute
+	// different orders.
 	return math.Round((fraction+r.debt*debtGain)*1e6) / 1e6
 }
 
-// debtGain is how strongly rounding debt moves the order, per slot-second.
+// debtGain is the weight of rounding debt in the order, per slot-second.
 const debtGain = 10
 
-// maxMin writes to out the weighted max-min division of capacity: nobody gets
-// more than its demand, and only those at their demand get less per weight
-// than another.
+// maxMin writes the weighted max-min division of capacity to out: no allocation
+// exceeds its demand, and an allocation that is smaller than another in
+// proportion to its weight equals its demand.
 func maxMin(capacity float64, weights, demands, out []float64) {
 	remaining := capacity
 	for i := range out {
@@ -233,15 +235,15 @@
 			return
 		}
 		level := remaining / active
-		settled := false
+		progressed := false
 		for i := range out {
 			if out[i] < 0 && demands[i] <= level*weights[i] {
 				out[i] = demands[i]
 				remaining = max(0, remaining-demands[i])
-				settled = true
+				progressed = true
 			}
 		}
-		if settled {
+		if progressed {
 			continue
 		}
 		for i := range out {
@@ -276,7 +278,7 @@
 	return out
 }
 
-// weightOf keeps every weight positive: a team without one counts as 1.
+// weightOf returns the team's weight, or 1 if it has no positive finite weight.
 func weightOf(team string, weights map[string]float64) float64 {
 	if w := weights[team]; w > 0 && !math.IsInf(w, 0) {
 		return w
--- a/internal/share/divide_test.go
+++ b/internal/share/divide_test.go
@@ -26,6 +26,8 @@
 	return demands
 }
 
+// TestDivideIsMaxMin checks that a division is max-min fair within each class,
+// does not depend on the order of the demands and uses the whole capacity.
 func TestDivideIsMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t)
@@ -37,20 +39,21 @@
 		got := Divide(capacity, weights, demands)
 		shuffled := rapid.Permutation(demands).Draw(t, "order")
 		if other := Divide(capacity, weights, shuffled); !reflect.DeepEqual(got, other) {
-			t.Fatalf("got %v at one entry, %v at another", got, other)
+			t.Fatalf("divisions of two entries differ: got %v and %v", got, other)
 		}
 		slots := 0
 		for _, n := range got.Slots {
 			slots += n
 		}
 		if slots != capacity {
-			t.Fatalf("got %d slots over entries, want %d", slots, capacity)
+			t.Fatalf("got %d slots in all entries, want %d", slots, capacity)
 		}
 		checkClasses(t, float64(capacity), weights, demands, got)
 	})
 }
 
-// checkClasses walks the classes in order with what earlier ones left over.
+// checkClasses checks each class in order against the capacity that remains after
+// the earlier ones.
 func checkClasses(t *rapid.T, remaining float64, weights map[string]float64, demands []Demand, got Division) {
 	want, alloc := map[Flow]float64{}, map[Flow]float64{}
 	for _, d := range demands {
@@ -62,16 +65,16 @@
 		}
 	}
 	for _, class := range []Class{Urgent, Normal, Batch} {
-		wanted, given, weight := 0.0, 0.0, 0.0
+		wanted, allocated, weight := 0.0, 0.0, 0.0
 		for flow := range want {
 			if flow.Class == class {
 				wanted += want[flow]
-				given += alloc[flow]
+				allocated += alloc[flow]
 				weight += weightOf(flow.Team, weights)
 			}
 		}
-		if math.Abs(given-min(remaining, wanted)) > tolerance {
-			t.Fatalf("class %v: got %v slots, want %v", class, given, min(remaining, wanted))
+		if math.Abs(allocated-min(remaining, wanted)) > tolerance {
+			t.Fatalf("class %v: got %v slots, want %v", class, allocated, min(remaining, wanted))
 		}
 		for flow := range want {
 			share := min(want[flow], remaining*weightOf(flow.Team, weights)/weight)
@@ -79,10 +82,12 @@
 				t.Fatalf("%v: got %v slots, want at least %v", flow, alloc[flow], share)
 			}
 		}
-		remaining = max(0, remaining-given)
+		remaining = max(0, remaining-allocated)
 	}
 }
 
+// TestDebtRotatesRemainders checks that rounding debt gives three entries equal
+// turns at a single slot.
 func TestDebtRotatesRemainders(t *testing.T) {
 	demand := func(entry string) Demand {
 		return Demand{Entry: entry, Flows: []FlowDemand{{Flow: Flow{Team: "a"}, Queued: 50}}}
@@ -104,8 +109,9 @@
 	}
 }
 
-// TestLagIsMadeUpWithinBounds compares a division with and without lag.
-func TestLagIsMadeUpWithinBounds(t *testing.T) {
+// TestLagCorrectionIsBounded checks that lag raises a flow's slots, and changes
+// no flow's slots by more than the maximum correction.
+func TestLagCorrectionIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t)
 		capacity := rapid.IntRange(1, 120).Draw(t, "capacity")
--- a/internal/share/queue.go
+++ b/internal/share/queue.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// none is the index of no node.
-const none = -1
+// noNode marks the absence of a node in a list.
+const noNode = -1
 
-// node is one ticket that waits or runs.
+// node is a ticket that is queued or running.
 type node struct {
 	id       uint64
 	deadline time.Time
@@ -16,14 +16,14 @@
 	running  bool
 }
 
-// nodes is a slab of nodes with a free list, so that tickets come and go
-// without allocation.
+// nodes is a slab of nodes with a free list, which avoids an allocation for each
+// ticket.
 type nodes struct {
 	slab []node
 	free []int32
 }
 
-func (n *nodes) take() int32 {
+func (n *nodes) allocate() int32 {
 	if last := len(n.free) - 1; last >= 0 {
 		index := n.free[last]
 		n.free = n.free[:last]
@@ -38,17 +38,17 @@
 	n.free = append(n.free, index)
 }
 
-// list is a first-in-first-out queue of nodes.
-type list struct {
+// nodeList is a doubly linked FIFO queue of nodes.
+type nodeList struct {
 	head int32
 	tail int32
 	size int
 }
 
-func (l *list) push(n *nodes, index int32) {
+func (l *nodeList) push(n *nodes, index int32) {
 	n.slab[index].prev = l.tail
-	n.slab[index].next = none
-	if l.tail == none {
+	n.slab[index].next = noNode
+	if l.tail == noNode {
 		l.head = index
 	} else {
 		n.slab[l.tail].next = index
@@ -57,14 +57,14 @@
 	l.size++
 }
 
-func (l *list) remove(n *nodes, index int32) {
+func (l *nodeList) remove(n *nodes, index int32) {
 	prev, next := n.slab[index].prev, n.slab[index].next
-	if prev == none {
+	if prev == noNode {
 		l.head = next
 	} else {
 		n.slab[prev].next = next
 	}
-	if next == none {
+	if next == noNode {
 		l.tail = prev
 	} else {
 		n.slab[next].prev = prev
--- a/internal/share/scheduler.go
+++ b/internal/share/scheduler.go
@@ -5,67 +5,68 @@
 	"time"
 )
 
-// Scheduler decides, for one service at one entry, which tickets start, wait
-// or are refused. It is not safe for concurrent use: callers lock per service.
+// Scheduler decides for one service at one entry which tickets are started,
+// queued or refused. It is not safe for concurrent use: callers hold a lock per
+// service.
 type Scheduler struct {
 	cfg     Config
 	byFlow  map[Flow]*flow
-	flows   []*flow // in compareFlows order, as keys and weights
+	flows   []*flow // in compareFlows order, like keys and weights
 	keys    []Flow
 	weights []float64
 	nodes   nodes
 	index   map[uint64]int32
-	peers   []peer // in the order of their names
-	rows    []row  // one for each peer and this entry, in the order of names
+	peers   []peer        // sorted by name
+	rows    []entryDemand // one for each peer and this entry, sorted by name
 	self    int
 	divider divider
 
-	slots    int
-	inFlight int
-	queued   int
-	debt     float64
-	sent     float64 // the debt last published, which peers compute with
-	divided  time.Time
-	acts     Actions
+	slots         int
+	inFlight      int
+	queued        int
+	debt          float64
+	publishedDebt float64 // the debt in the last Demand, which peers use
+	dividedAt     time.Time
+	actions       Actions
 }
 
-// New returns a scheduler that divides alone until it hears of peers.
+// New returns a scheduler without peers.
 func New(cfg Config) *Scheduler {
 	cfg.setDefaults()
 	s := &Scheduler{cfg: cfg, byFlow: map[Flow]*flow{}, index: map[uint64]int32{}}
-	s.layout()
+	s.rebuildRows()
 	s.slots = cfg.Capacity
 	return s
 }
 
-// Submit asks for a slot. IDs of tickets that wait or run must be distinct.
+// Submit requests a slot. The IDs of queued and running tickets must be distinct.
 func (s *Scheduler) Submit(now time.Time, t Ticket) Outcome {
 	if _, ok := s.index[t.ID]; ok {
 		panic("share: ticket submitted twice")
 	}
 	f := s.flow(Flow{Team: t.Team, Class: t.Class})
 	f.accrue(now, s.queued > 0)
-	if s.inFlight >= s.slots && !s.waitsUpTo(t.Class) && now.Sub(s.divided) >= minRecompute {
-		f.newcomer = 1
+	if s.inFlight >= s.slots && !s.hasQueuedUpTo(t.Class) && now.Sub(s.dividedAt) >= minDivideInterval {
+		f.submitting = 1
 		s.divide(now)
-		f.newcomer = 0
+		f.submitting = 0
 	}
-	if s.inFlight < s.slots && !s.waitsUpTo(t.Class) {
-		f.promised = time.Time{}
-		s.start(now, f, s.admit(t, f))
+	if s.inFlight < s.slots && !s.hasQueuedUpTo(t.Class) {
+		f.nextRetry = time.Time{}
+		s.start(now, f, s.addNode(t, f))
 		return Outcome{Decision: Start}
 	}
 	wait, known := f.wait(f.queue.size + 1)
 	full := f.queue.size >= s.cfg.QueueLimit
 	if full || (known && now.Add(wait).After(t.Deadline)) || !t.Deadline.After(now) {
-		return Outcome{Decision: Refused, RetryAfter: f.promise(now, wait, s.cfg.MaxRetryAfter)}
+		return Outcome{Decision: Refused, RetryAfter: f.scheduleRetry(now, wait, s.cfg.MaxRetryAfter)}
 	}
-	f.queue.push(&s.nodes, s.admit(t, f))
+	f.queue.push(&s.nodes, s.addNode(t, f))
 	s.queued++
 	return Outcome{Decision: Queued}
 }
 
-// Finish ends a running ticket and starts what its slot allows.
+// Finish ends a running ticket and starts queued tickets in the freed slots.
 func (s *Scheduler) Finish(now time.Time, id uint64) Actions {
 	s.reset()
 	index, ok := s.index[id]
@@ -74,18 +75,18 @@
 	}
 	n := s.nodes.slab[index]
 	n.flow.accrue(now, s.queued > 0)
-	n.flow.observe(now.Sub(n.started))
+	n.flow.observeRunTime(now.Sub(n.started))
 	n.flow.inFlight--
 	s.inFlight--
-	s.drop(id, index)
+	s.removeNode(id, index)
 	if s.queued > 0 {
 		s.divide(now)
 	}
-	s.fill(now)
-	return s.acts
+	s.startQueued(now)
+	return s.actions
 }
 
-// Cancel ends a queued ticket, and reports whether it was still queued.
+// Cancel removes a queued ticket and reports whether it was still queued.
 func (s *Scheduler) Cancel(now time.Time, id uint64) bool {
 	index, ok := s.index[id]
 	if !ok || s.nodes.slab[index].running {
@@ -94,56 +95,58 @@
 	f := s.nodes.slab[index].flow
 	f.accrue(now, s.queued > 0)
 	s.dequeue(f, index)
-	s.drop(id, index)
+	s.removeNode(id, index)
 	return true
 }
 
-// SetCapacity sets the slots of the service's healthy endpoints, fleet-wide.
+// SetCapacity sets the number of slots at the service's healthy endpoints,
+// fleet-wide.
 func (s *Scheduler) SetCapacity(now time.Time, slots int) Actions {
 	s.reset()
 	if slots = max(0, slots); slots == s.cfg.Capacity {
-		return s.acts
+		return s.actions
 	}
 	s.cfg.Capacity = slots
 	s.divide(now)
-	s.fill(now)
-	return s.acts
+	s.startQueued(now)
+	return s.actions
 }
 
-// SetWeights sets the teams' shares.
+// SetWeights sets the weights of the teams.
 func (s *Scheduler) SetWeights(now time.Time, weights map[string]float64) Actions {
 	s.reset()
 	s.cfg.Weights = weights
-	s.layout()
+	s.rebuildRows()
 	s.divide(now)
-	s.fill(now)
-	return s.acts
+	s.startQueued(now)
+	return s.actions
 }
 
-// Tick divides anew, refuses queued tickets that can't start before their
-// deadline and starts what the slots allow.
+// Tick drops silent peers, divides again, starts queued tickets in free slots and
+// refuses queued tickets that cannot start before their deadline.
 func (s *Scheduler) Tick(now time.Time) Actions {
 	s.reset()
-	silent := func(p peer) bool { return now.Sub(p.heard) > s.cfg.PeerTimeout }
+	silent := func(p peer) bool { return now.Sub(p.heardAt) > s.cfg.PeerTimeout }
 	if slices.ContainsFunc(s.peers, silent) {
 		s.peers = slices.DeleteFunc(s.peers, silent)
-		s.layout()
+		s.rebuildRows()
 	}
 	s.divide(now)
-	s.fill(now)
+	s.startQueued(now)
 	for _, f := range s.flows {
 		s.refuseLate(now, f)
 	}
-	return s.acts
+	return s.actions
 }
 
-// Demand reports this entry's load for gossip. Until the next call this entry
-// divides with the debt and lag of this message: all peers must get the same.
+// Demand returns this entry's load for gossip. Until the next call this entry
+// divides with the debt and lag of this message, so all peers must receive the
+// same message.
 func (s *Scheduler) Demand() Demand {
-	s.sent = s.debt
+	s.publishedDebt = s.debt
 	d := Demand{Entry: s.cfg.Entry, Debt: s.debt}
 	for _, f := range s.flows {
-		f.sentLag = f.lag
+		f.publishedLag = f.lag
 		if f.inFlight+f.queue.size > 0 || f.lag != 0 {
 			d.Flows = append(d.Flows, FlowDemand{
 				Flow: f.Flow, InFlight: f.inFlight, Queued: f.queue.size, Lag: f.lag,
@@ -153,16 +156,17 @@
 	return d
 }
 
-// Busy reports whether anything runs or waits.
+// Busy reports whether any ticket is running or queued.
 func (s *Scheduler) Busy() bool { return s.inFlight+s.queued > 0 }
 
 func (s *Scheduler) reset() {
-	s.acts.Start = s.acts.Start[:0]
-	s.acts.Refuse = s.acts.Refuse[:0]
+	s.actions.Start = s.actions.Start[:0]
+	s.actions.Refuse = s.actions.Refuse[:0]
 }
 
-// waitsUpTo reports whether work of this class or an earlier one is queued.
-func (s *Scheduler) waitsUpTo(class Class) bool {
+// hasQueuedUpTo reports whether a ticket of this class or an earlier one is
+// queued.
+func (s *Scheduler) hasQueuedUpTo(class Class) bool {
 	if s.queued == 0 {
 		return false
 	}
@@ -174,14 +178,14 @@
 	return false
 }
 
-func (s *Scheduler) admit(t Ticket, f *flow) int32 {
-	index := s.nodes.take()
+func (s *Scheduler) addNode(t Ticket, f *flow) int32 {
+	index := s.nodes.allocate()
 	s.nodes.slab[index] = node{id: t.ID, deadline: t.Deadline, flow: f}
 	s.index[t.ID] = index
 	return index
 }
 
-func (s *Scheduler) drop(id uint64, index int32) {
+func (s *Scheduler) removeNode(id uint64, index int32) {
 	delete(s.index, id)
 	s.nodes.release(index)
 }
@@ -198,10 +202,11 @@
 	s.inFlight++
 }
 
-// fill starts queued tickets while this entry has free slots.
-func (s *Scheduler) fill(now time.Time) {
+// startQueued starts queued tickets while this entry has free slots, and refuses
+// those past their deadline.
+func (s *Scheduler) startQueued(now time.Time) {
 	for s.inFlight < s.slots && s.queued > 0 {
-		f := s.next(now)
+		f := s.nextFlow(now)
 		index := f.queue.head
 		n := s.nodes.slab[index]
 		f.accrue(now, true)
@@ -211,12 +216,13 @@
 			continue
 		}
 		s.start(now, f, index)
-		s.acts.Start = append(s.acts.Start, n.id)
+		s.actions.Start = append(s.actions.Start, n.id)
 	}
 }
 
-// next returns the flow of the first class that waits whose deficit is largest.
-func (s *Scheduler) next(now time.Time) *flow {
+// nextFlow returns the flow with the largest deficit in the first class that has
+// queued tickets.
+func (s *Scheduler) nextFlow(now time.Time) *flow {
 	var best *flow
 	for _, f := range s.flows {
 		if f.queue.size == 0 {
@@ -233,18 +239,18 @@
 	return best
 }
 
-// refuse ends a ticket that has left its queue.
+// refuse refuses a ticket that has been removed from its queue.
 func (s *Scheduler) refuse(now time.Time, f *flow, index int32) {
 	id := s.nodes.slab[index].id
 	wait, _ := f.wait(f.queue.size + 1)
-	retryAfter := f.promise(now, wait, s.cfg.MaxRetryAfter)
-	s.acts.Refuse = append(s.acts.Refuse, Refusal{ID: id, RetryAfter: retryAfter})
-	s.drop(id, index)
+	retryAfter := f.scheduleRetry(now, wait, s.cfg.MaxRetryAfter)
+	s.actions.Refuse = append(s.actions.Refuse, Refusal{ID: id, RetryAfter: retryAfter})
+	s.removeNode(id, index)
 }
 
 func (s *Scheduler) refuseLate(now time.Time, f *flow) {
 	position := 1
-	for index := f.queue.head; index != none; {
+	for index := f.queue.head; index != noNode; {
 		next, deadline := s.nodes.slab[index].next, s.nodes.slab[index].deadline
 		wait, known := f.wait(position)
 		if !deadline.After(now) || (known && now.Add(wait).After(deadline)) {
@@ -257,22 +263,22 @@
 	}
 }
 
-// divide computes this entry's quotas and slots from all known demand.
+// divide computes this entry's quotas and slots from the demand of all entries.
 func (s *Scheduler) divide(now time.Time) {
-	elapsed := now.Sub(s.divided).Seconds()
-	if s.divided.IsZero() {
+	elapsed := now.Sub(s.dividedAt).Seconds()
+	if s.dividedAt.IsZero() {
 		elapsed = 0
 	}
 	own := &s.rows[s.self]
-	s.owe(own, elapsed)
+	s.updateDebt(own, elapsed)
 	for i, f := range s.flows {
 		f.accrue(now, s.queued > 0)
-		f.settleLag(elapsed)
-		own.lag[i] = f.sentLag
-		own.demand[i] = float64(f.inFlight + f.queue.size + f.newcomer)
+		f.updateLag(elapsed)
+		own.lag[i] = f.publishedLag
+		own.demand[i] = float64(f.inFlight + f.queue.size + f.submitting)
 	}
-	s.balance()
-	own.debt = s.sent
+	s.balanceCredit()
+	own.debt = s.publishedDebt
 	s.divider.divide(s.cfg.Capacity, s.weights, s.keys, s.rows)
 	for i, f := range s.flows {
 		fair := 0.0
@@ -283,13 +289,14 @@
 		f.setQuota(own.quota[i], own.demand[i] > 0, elapsed)
 	}
 	s.slots = own.slots
-	s.divided = now
+	s.dividedAt = now
 }
 
-// balance makes the deficits of the queued flows add up to nothing, so that
-// what the entry as a whole has run too much or too little, which no choice
-// between flows can mend, is borne in proportion to the quotas.
-func (s *Scheduler) balance() {
+// balanceCredit shifts the credits of the queued flows so that they add up to
+// zero. What the entry as a whole has run too much or too little cannot be
+// corrected by the choice between its flows, so it is spread over them in
+// proportion to their quotas.
+func (s *Scheduler) balanceCredit() {
 	credit, quota := 0.0, 0.0
 	for _, f := range s.flows {
 		if f.queue.size > 0 {
@@ -307,17 +314,18 @@
 	}
 }
 
-// owe adds what rounding withheld from this entry since the last division.
-func (s *Scheduler) owe(own *row, elapsed float64) {
+// updateDebt adds the slot-seconds that rounding withheld from this entry since
+// the last division.
+func (s *Scheduler) updateDebt(own *entryDemand, elapsed float64) {
 	if s.queued == 0 {
 		s.debt = 0
 		return
 	}
 	s.debt += (own.total - float64(own.slots)) * elapsed
-	s.debt = min(max(s.debt, -debtLimit), debtLimit)
+	s.debt = min(max(s.debt, -maxDebt), maxDebt)
 }
 
-// flow returns the state of a flow, made at its first use.
+// flow returns the state of a flow, creating it at its first use.
 func (s *Scheduler) flow(key Flow) *flow {
 	if f, ok := s.byFlow[key]; ok {
 		return f
@@ -327,6 +335,6 @@
 	i, _ := slices.BinarySearchFunc(s.keys, key, compareFlows)
 	s.keys = slices.Insert(s.keys, i, key)
 	s.flows = slices.Insert(s.flows, i, f)
-	s.layout()
+	s.rebuildRows()
 	return f
 }
--- a/internal/share/scheduler_test.go
+++ b/internal/share/scheduler_test.go
@@ -12,7 +12,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is a few schedulers with the truth about every ticket they hold.
+// fleet holds the schedulers of three entries and the expected state of their
+// tickets.
 type fleet struct {
 	t        *rapid.T
 	now      time.Time
@@ -38,7 +39,7 @@
 	return f
 }
 
-func (f *fleet) take(i int, acts Actions) {
+func (f *fleet) applyActions(i int, acts Actions) {
 	for _, id := range acts.Start {
 		deadline, ok := f.waiting[i][id]
 		if !ok || !deadline.After(f.now) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// smallest returns a fixed member of the set, so that runs repeat exactly.
+// smallest returns the smallest ID in the set, so that runs are reproducible.
 func smallest[V any](set map[uint64]V) uint64 {
 	var best uint64
 	for id := range set {
@@ -95,7 +96,7 @@
 	case 2:
 		if id := smallest(f.running[i]); id != 0 {
 			delete(f.running[i], id)
-			f.take(i, s.Finish(f.now, id))
+			f.applyActions(i, s.Finish(f.now, id))
 		}
 	case 3:
 		if id := smallest(f.waiting[i]); id != 0 {
@@ -106,7 +107,7 @@
 		}
 	case 4:
 		from := rapid.IntRange(0, len(f.nodes)-1).Draw(f.t, "from")
-		f.take(i, s.SetPeer(f.now, f.nodes[from].Demand()))
+		f.applyActions(i, s.SetPeer(f.now, f.nodes[from].Demand()))
 	case 5:
 		f.now = f.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(f.t, "pass")) * time.Millisecond)
 	case 6:
@@ -115,11 +116,11 @@
 }
 
 func (f *fleet) tick(i int) {
-	f.take(i, f.nodes[i].Tick(f.now))
+	f.applyActions(i, f.nodes[i].Tick(f.now))
 	state := f.nodes[i].State()
 	for id, deadline := range f.waiting[i] {
 		if !deadline.After(f.now) {
-			f.t.Fatalf("ticket %d is held past its deadline %v at %v", id, deadline, f.now)
+			f.t.Fatalf("ticket %d is still queued after its deadline %v at %v", id, deadline, f.now)
 		}
 	}
 	if state.Queued > 0 && state.InFlight < state.Slots {
@@ -136,13 +137,13 @@
 	}
 }
 
-// maxSettleRounds bounds how often demand is exchanged while time stands still.
-const maxSettleRounds = 5
+// maxExchanges limits the number of exchanges of demand at one point in time.
+const maxExchanges = 5
 
-// settle exchanges demand until no entry has anything new to tell.
-func (f *fleet) settle() {
+// exchangeDemand exchanges demand between the entries until it no longer changes.
+func (f *fleet) exchangeDemand() {
 	var last []Demand
-	for range maxSettleRounds {
+	for range maxExchanges {
 		var demands []Demand
 		for i, s := range f.nodes {
 			f.tick(i)
@@ -154,20 +155,22 @@
 		last = demands
 		for i, s := range f.nodes {
 			for _, demand := range demands {
-				f.take(i, s.SetPeer(f.now, demand))
+				f.applyActions(i, s.SetPeer(f.now, demand))
 			}
 		}
 	}
-	f.t.Fatalf("got new demand after %d exchanges: %v", maxSettleRounds, last)
+	f.t.Fatalf("demand still changes after %d exchanges: %v", maxExchanges, last)
 }
 
+// TestSchedulers drives three schedulers with random events, and checks that they
+// agree on a division once they have exchanged their demand.
 func TestSchedulers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			f.step()
 		}
-		f.settle()
+		f.exchangeDemand()
 		demands, division := []Demand{}, 0
 		for _, s := range f.nodes {
 			demands = append(demands, s.Demand())
@@ -183,25 +186,26 @@
 			}
 		}
 		if division != f.capacity {
-			t.Fatalf("got %d slots over entries, want %d", division, f.capacity)
+			t.Fatalf("got %d slots in all entries, want %d", division, f.capacity)
 		}
 	})
 }
 
-// TestFloodKeepsShares runs one entry full for 20 s of virtual time, 100 ms a
-// run, while one team asks for ten times the capacity.
-func TestFloodKeepsShares(t *testing.T) {
+// TestOverloadKeepsShares runs one entry at full load for 20 s of virtual time
+// with runs of 100 ms, while one team requests ten times the capacity. Each team
+// must get its share.
+func TestOverloadKeepsShares(t *testing.T) {
 	for name, tc := range map[string]struct {
 		weights map[string]float64
 		rates   map[string]int // arrivals each 10 ms
 		want    map[string]float64
 	}{
-		"equal weights":       {nil, map[string]int{"flood": 80, "small": 2}, map[string]float64{"flood": 4, "small": 4}},
-		"weights":             {map[string]float64{"small": 3}, map[string]int{"flood": 80, "small": 2}, map[string]float64{"flood": 2, "small": 6}},
-		"rest goes to others": {map[string]float64{"small": 3}, map[string]int{"flood": 80, "small": 0}, map[string]float64{"flood": 8}},
+		"equal weights": {nil, map[string]int{"flood": 80, "small": 2}, map[string]float64{"flood": 4, "small": 4}},
+		"weights":       {map[string]float64{"small": 3}, map[string]int{"flood": 80, "small": 2}, map[string]float64{"flood": 2, "small": 6}},
+		"unused share":  {map[string]float64{"small": 3}, map[string]int{"flood": 80, "small": 0}, map[string]float64{"flood": 8}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := runFull(tc.weights, tc.rates, 2000)
+			got := simulateFullEntry(tc.weights, tc.rates, 2000)
 			for team, want := range tc.want {
 				if got[team] < want*0.97 || got[team] > want*1.03 {
 					t.Errorf("%s: got %.2f slots in use, want %.2f", team, got[team], want)
@@ -211,7 +215,7 @@
 	}
 }
 
-func runFull(weights map[string]float64, rates map[string]int, steps int) map[string]float64 {
+func simulateFullEntry(weights map[string]float64, rates map[string]int, steps int) map[string]float64 {
 	s := New(Config{Entry: "e0", Capacity: 8, Weights: weights})
 	ends, teams, used := map[int][]uint64{}, map[uint64]string{}, map[string]float64{}
 	id := uint64(0)
@@ -240,7 +244,7 @@
 	return used
 }
 
-func TestRefusalTellsDrainTime(t *testing.T) {
+func TestRefusalReturnsDrainTime(t *testing.T) {
 	s := New(Config{Entry: "e0", Capacity: 1, ExpectedDuration: time.Second})
 	for i, want := range []Outcome{
 		{Decision: Start},
@@ -257,7 +261,7 @@
 	}
 }
 
-func TestSilentPeerGivesUpItsSlots(t *testing.T) {
+func TestSilentPeerLosesSlots(t *testing.T) {
 	s := New(Config{Entry: "e0", Capacity: 8})
 	flow := FlowDemand{Flow: Flow{Team: "a"}, InFlight: 8, Queued: 90}
 	s.SetPeer(epoch, Demand{Entry: "e1", Flows: []FlowDemand{flow}})
@@ -270,11 +274,13 @@
 	}
 	s.Tick(epoch.Add(DefaultPeerTimeout + 1))
 	if got := s.State().InFlight; got != 8 {
-		t.Errorf("after its silence: got %d in flight, want 8", got)
+		t.Errorf("after the peer's timeout: got %d in flight, want 8", got)
 	}
 }
 
-func TestPauseDoesNotPileUpLag(t *testing.T) {
+// TestPauseDoesNotAccumulateLag checks that a pause of the process, or NaN from a
+// peer, does not push the lag beyond its limit.
+func TestPauseDoesNotAccumulateLag(t *testing.T) {
 	s := New(Config{Entry: "e0", Capacity: 2})
 	for id := range uint64(9) {
 		s.Submit(epoch, Ticket{ID: id, Team: []string{"a", "b"}[id%2], Deadline: epoch.Add(time.Hour)})
@@ -286,7 +292,7 @@
 		s.Tick(epoch.Add(pause))
 	}
 	for _, d := range s.Demand().Flows {
-		if limit := lagFade.Seconds(); math.IsNaN(d.Lag) || math.Abs(d.Lag) > limit {
+		if limit := lagTimeConstant.Seconds(); math.IsNaN(d.Lag) || math.Abs(d.Lag) > limit {
 			t.Errorf("%s: got a lag of %v slot-seconds, want at most %v", d.Team, d.Lag, limit)
 		}
 	}
@@ -307,7 +313,8 @@
 	})
 }
 
-// BenchmarkFull keeps six teams queued before a full service with six peers.
+// BenchmarkFull submits and finishes requests of six teams with all slots in use
+// and six peers.
 func BenchmarkFull(b *testing.B) {
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -1,11 +1,11 @@
 // Package share divides the slots of a service among teams across all entries.
 //
-// The division is a weighted max-min: classes in strict order (urgent, normal,
-// batch), teams by weight inside a class, entries evenly inside a team. Each
-// entry knows the demand of every entry through gossip and computes the same
-// division from it, so a team gets its share of the fleet although its load
-// meets only some entries. The quotas of an entry add up to a whole number of
-// slots; the remainders rotate between entries by the rounding debt that each
+// Slots are divided by weighted max-min fairness: classes in strict order
+// (urgent, normal, batch), teams by weight within a class, and entries evenly
+// within a team. Each entry learns the demand of every entry through gossip and
+// computes the same division from it, so a team gets its share of the fleet even
+// if its load arrives at only some entries. Each entry gets a whole number of
+// slots. The remainders rotate between entries by the rounding debt that each
 // entry publishes with its demand.
 //
 // # Usage
@@ -15,30 +15,31 @@
 //
 //	s := share.New(share.Config{Entry: "entry-1", Weights: weights, Capacity: 80})
 //	switch out := s.Submit(now, share.Ticket{ID: 1, Team: "bookings", Deadline: latestStart}); out.Decision {
-//	case share.Start: // send it now, then call s.Finish(now, 1)
-//	case share.Queued: // a later Actions.Start or Actions.Refuse names it, or s.Cancel ends it
+//	case share.Start: // send the request now, then call s.Finish(now, 1)
+//	case share.Queued: // a later Actions.Start or Actions.Refuse contains it, unless s.Cancel removes it
 //	case share.Refused: // answer "not run" with out.RetryAfter
 //	}
-//	acts := s.Tick(now) // every 5 to 20 ms; also SetPeer, SetCapacity, Finish and Cancel
-//	// start acts.Start, refuse acts.Refuse before the next call
+//	actions := s.Tick(now) // every 5 to 20 ms; SetPeer, SetCapacity and Finish return actions too
+//	// start actions.Start, refuse actions.Refuse before the next call
 //
-// Every gossip interval send s.Demand() to the peers, and hand each received
+// At every gossip interval send s.Demand() to the peers, and pass each received
 // message to s.SetPeer.
 package share
 
 import "time"
 
-// Class orders work: a class gets slots only when all earlier ones are served.
+// Class is the priority class of work. A class gets slots only once the demand of
+// all earlier classes is met.
 type Class uint8
 
-// The classes in the order in which they are served.
+// Classes in the order in which they are served.
 const (
 	Urgent Class = iota
 	Normal
 	Batch
 )
 
-// String returns the class's name in settings and dumps.
+// String returns the name of the class in settings and dumps.
 func (c Class) String() string {
 	switch c {
 	case Urgent:
@@ -62,7 +63,7 @@
 	Class Class  `json:"class"`
 }
 
-// Ticket is one request that wants a slot. Deadline is the latest useful start.
+// Ticket is a request for a slot. Deadline is the latest useful start time.
 type Ticket struct {
 	ID       uint64
 	Team     string
@@ -70,38 +71,38 @@
 	Deadline time.Time
 }
 
-// Decision says what becomes of a submitted ticket.
+// Decision is the result of submitting a ticket.
 type Decision uint8
 
-// The decisions on a submitted ticket.
+// Decisions on a submitted ticket.
 const (
 	Start Decision = iota
 	Queued
 	Refused
 )
 
-// Outcome answers Submit. RetryAfter is set for Refused: the time in which the
-// queue ahead and the requests refused before drain at the present rate.
+// Outcome is the result of Submit. RetryAfter is set for Refused: the estimated
+// time until the queue ahead and the requests refused earlier have drained.
 type Outcome struct {
 	Decision   Decision
 	RetryAfter time.Duration
 }
 
-// Refusal ends a queued ticket that did not run.
+// Refusal refuses a queued ticket, which did not run.
 type Refusal struct {
 	ID         uint64
 	RetryAfter time.Duration
 }
 
-// Actions lists the tickets that an event started or refused. The slices are
-// valid until the scheduler's next call.
+// Actions lists the tickets that the caller must start or refuse. The slices are
+// valid until the next call of the scheduler.
 type Actions struct {
 	Start  []uint64
 	Refuse []Refusal
 }
 
-// FlowDemand is the load of one flow at one entry, in requests. Lag is the
-// slot-seconds by which the flow has run less than its part of late.
+// FlowDemand is the load of one flow at one entry, in requests. Lag is how many
+// slot-seconds the flow has recently run less than its fair share.
 type FlowDemand struct {
 	Flow
 	InFlight int     `json:"in-flight"`
@@ -109,8 +110,9 @@
 	Lag      float64 `json:"lag"`
 }
 
-// Demand is the load of one service at one entry, as gossiped. Debt is the
-// entry's rounding debt in slot-seconds: quota that whole slots did not give it.
+// Demand is the gossiped load of one service at one entry. Debt is the entry's
+// rounding debt in slot-seconds: the quota that it lost by rounding to whole
+// slots.
 type Demand struct {
 	Entry string       `json:"entry"`
 	Debt  float64      `json:"debt"`
--- a/internal/share/state.go
+++ b/internal/share/state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is the scheduler's part of a dump.
+// State is the state of a scheduler in a dump.
 type State struct {
 	Capacity int         `json:"capacity"`
 	Slots    int         `json:"slots"`
@@ -13,13 +13,13 @@
 	Flows    []FlowState `json:"flows"`
 }
 
-// PeerState tells when a peer was last heard.
+// PeerState is the state of a peer in a dump: when its last message arrived.
 type PeerState struct {
-	Entry string    `json:"entry"`
-	Heard time.Time `json:"heard"`
+	Entry   string    `json:"entry"`
+	HeardAt time.Time `json:"heard"`
 }
 
-// FlowState is one flow at this entry.
+// FlowState is the state of one flow at this entry in a dump.
 type FlowState struct {
 	Flow
 	Weight       float64 `json:"weight"`
@@ -31,7 +31,7 @@
 	MeanDuration string  `json:"mean-duration"`
 }
 
-// State reports what the scheduler knows, for the operators' dump.
+// State returns the scheduler's state for the operators' dump.
 func (s *Scheduler) State() State {
 	out := State{
 		Capacity: s.cfg.Capacity,
@@ -41,7 +41,7 @@
 		Debt:     s.debt,
 	}
 	for _, p := range s.peers {
-		out.Peers = append(out.Peers, PeerState{Entry: p.demand.Entry, Heard: p.heard})
+		out.Peers = append(out.Peers, PeerState{Entry: p.demand.Entry, HeardAt: p.heardAt})
 	}
 	for i, f := range s.flows {
 		out.Flows = append(out.Flows, FlowState{
