--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,9 +1,9 @@
 // Package retry decides whether a request may be tried on another endpoint.
 //
-// A service's retries are bounded by a budget that grows with its fresh
-// requests, so that endpoints which all fail see little more than the load
-// that was asked for. A request marked not to be repeated is never tried again
-// once a byte of it may have gone out, not even when an endpoint refused it.
+// A service's retries are limited by a budget that grows with its new requests,
+// so that retries add little load when all endpoints fail. A request that must
+// not be repeated is never retried once a byte of it may have been sent, not even
+// if an endpoint refused it.
 //
 // # Usage
 //
@@ -11,9 +11,10 @@
 // one lock per service around every call.
 //
 //	b := retry.New(retry.Config{})
-//	b.Fresh() // once for each request, before its first attempt
-//	if b.Allow(now, retry.Attempt{Number: 1, Marked: marked, Sent: sent, Deadline: deadline}) == retry.Again {
-//		// send it to an endpoint that was not tried
+//	b.RecordRequest() // once for each request, before its first attempt
+//	attempt := retry.Attempt{Number: 1, NotRepeatable: !repeatable, Sent: sent, Deadline: deadline}
+//	if b.Allow(now, attempt) == retry.Allowed {
+//		// send the request to an endpoint that was not tried
 //	}
 package retry
 
@@ -22,23 +23,23 @@
 	"time"
 )
 
-// Verdict says what becomes of a failed attempt.
+// Verdict decides whether a failed attempt may be retried.
 type Verdict uint8
 
-// The verdicts. All but Again end the request.
+// Verdicts on a retry. All but Allowed end the request.
 const (
-	Again Verdict = iota
-	// MayHaveRun forbids a second attempt of a marked request.
+	Allowed Verdict = iota
+	// MayHaveRun means that the request must not be repeated and may have run.
 	MayHaveRun
 	// TooLate means that the deadline leaves no time for another attempt.
 	TooLate
-	// TooMany means that the request has used its attempts.
-	TooMany
-	// Exhausted means that the service has used its budget.
-	Exhausted
+	// TooManyAttempts means that the request has used all of its attempts.
+	TooManyAttempts
+	// BudgetExhausted means that the service has used up its retry budget.
+	BudgetExhausted
 )
 
-// String returns the verdict's name in logs and metrics.
+// String returns the name of the verdict in logs and metrics.
 func (v Verdict) String() string {
 	names := [...]string{"again", "may-have-run", "too-late", "too-many", "exhausted"}
 	if int(v) < len(names) {
@@ -47,45 +48,45 @@
 	return "unknown"
 }
 
-// Attempt describes an attempt that failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// Number counts the request's attempts so far, from 1.
+	// Number counts the attempts of the request, starting at 1.
 	Number int
-	// Marked means that the request must not be repeated.
-	Marked bool
-	// Sent means that its first byte may have gone out.
+	// NotRepeatable means that the request must not be sent twice.
+	NotRepeatable bool
+	// Sent means that the first byte of the request may have been sent.
 	Sent bool
-	// Deadline is the request's.
+	// Deadline is the deadline of the request.
 	Deadline time.Time
 }
 
-// Config constructs a Budget. Zero values take the defaults below.
+// Config configures a Budget. Zero values take the defaults below.
 type Config struct {
-	// Ratio is the retries allowed per fresh request.
+	// Ratio is the number of retries allowed per new request.
 	Ratio float64
-	// Burst is the retries that may be saved up.
+	// Burst is the maximum number of retries that can accumulate.
 	Burst float64
-	// MaxAttempts bounds the attempts of one request.
+	// MaxAttempts is the maximum number of attempts of a request.
 	MaxAttempts int
-	// MinTime is the least time before the deadline that an attempt needs.
-	MinTime time.Duration
+	// MinAttemptTime is the minimum time before the deadline for an attempt.
+	MinAttemptTime time.Duration
 }
 
 // Defaults of Config.
 const (
-	DefaultRatio       = 0.1
-	DefaultBurst       = 10
-	DefaultMaxAttempts = 3
-	DefaultMinTime     = 10 * time.Millisecond
+	DefaultRatio          = 0.1
+	DefaultBurst          = 10
+	DefaultMaxAttempts    = 3
+	DefaultMinAttemptTime = 10 * time.Millisecond
 )
 
-// Budget is a token bucket that fresh requests fill and retries empty.
+// Budget is a token bucket that new requests fill and retries drain.
 type Budget struct {
-	cfg    Config
-	tokens float64
-	fresh  uint64
-	spent  uint64
-	denied uint64
+	cfg      Config
+	tokens   float64
+	requests uint64
+	retries  uint64
+	denied   uint64
 }
 
 // New returns a full budget.
@@ -93,45 +94,45 @@
 	cfg.Ratio = cmp.Or(cfg.Ratio, DefaultRatio)
 	cfg.Burst = cmp.Or(cfg.Burst, DefaultBurst)
 	cfg.MaxAttempts = cmp.Or(cfg.MaxAttempts, DefaultMaxAttempts)
-	cfg.MinTime = cmp.Or(cfg.MinTime, DefaultMinTime)
+	cfg.MinAttemptTime = cmp.Or(cfg.MinAttemptTime, DefaultMinAttemptTime)
 	return &Budget{cfg: cfg, tokens: cfg.Burst}
 }
 
-// Fresh counts a request's first attempt.
-func (b *Budget) Fresh() {
-	b.fresh++
+// RecordRequest counts a new request, before its first attempt.
+func (b *Budget) RecordRequest() {
+	b.requests++
 	b.tokens = min(b.tokens+b.cfg.Ratio, b.cfg.Burst)
 }
 
-// Allow decides on another attempt, and spends a token for it.
+// Allow decides whether a failed attempt may be retried, and takes a token if so.
 func (b *Budget) Allow(now time.Time, a Attempt) Verdict {
-	if a.Marked && a.Sent {
+	if a.NotRepeatable && a.Sent {
 		return MayHaveRun
 	}
 	if a.Number >= b.cfg.MaxAttempts {
-		return TooMany
+		return TooManyAttempts
 	}
-	if now.Add(b.cfg.MinTime).After(a.Deadline) {
+	if now.Add(b.cfg.MinAttemptTime).After(a.Deadline) {
 		return TooLate
 	}
 	if b.tokens < 1 {
 		b.denied++
-		return Exhausted
+		return BudgetExhausted
 	}
 	b.tokens--
-	b.spent++
-	return Again
+	b.retries++
+	return Allowed
 }
 
-// State is the budget's part of a dump.
+// State is the state of a budget in a dump.
 type State struct {
-	Tokens float64 `json:"tokens"`
-	Fresh  uint64  `json:"fresh"`
-	Spent  uint64  `json:"retries"`
-	Denied uint64  `json:"denied"`
+	Tokens   float64 `json:"tokens"`
+	Requests uint64  `json:"fresh"`
+	Retries  uint64  `json:"retries"`
+	Denied   uint64  `json:"denied"`
 }
 
-// State reports the bucket and the counts since the start.
+// State returns the tokens and the counts since the start.
 func (b *Budget) State() State {
-	return State{Tokens: b.tokens, Fresh: b.fresh, Spent: b.spent, Denied: b.denied}
+	return State{Tokens: b.tokens, Requests: b.requests, Retries: b.retries, Denied: b.denied}
 }
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// BenchmarkPick chooses among endpoints of which half are busy.
+// BenchmarkPick measures Pick and Done with requests in flight at half of the
+// endpoints.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 20, 40, 80, 160} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
--- a/internal/route/endpoint.go
+++ b/internal/route/endpoint.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	firstRamp         = 1 // requests in flight allowed to a returning endpoint
-	smoothing         = 8 // samples
-	slowFactor        = 2 // times the median run time that counts as slow
-	maxSlowness       = 10
-	slownessHalfLife  = 5 * time.Second
-	maxEjectionsShift = 16
+	initialRamp          = 1 // requests in flight allowed at a returning endpoint
+	smoothingSamples     = 8 // samples
+	slowFactor           = 2 // multiple of the median run time above which an endpoint is slow
+	maxSlowness          = 10
+	slownessHalfLife     = 5 * time.Second
+	maxEjectionDoublings = 16
 )
 
-// endpoint is what this entry knows of an endpoint.
+// endpoint is this entry's state of an endpoint.
 type endpoint struct {
 	Endpoint
 	gone     bool
 	inFlight int
-	peers    int // in flight from other entries
+	peers    int // requests in flight from other entries
 
-	runTime      float64 // mean of successes in seconds
-	sampled      time.Time
-	failures     float64 // mean fraction that failed
-	consecutive  int
-	failing      bool
-	ejections    int
-	ejectedUntil time.Time
-	ramp         int // requests in flight allowed while returning, 0 is all
-	refusedUntil time.Time
+	runTime             float64 // mean run time of successes in seconds
+	sampledAt           time.Time
+	failureRatio        float64 // moving average of the fraction of failures
+	consecutiveFailures int
+	failing             bool
+	ejections           int
+	ejectedUntil        time.Time
+	ramp                int // requests in flight allowed while returning, 0 for no limit
+	refusedUntil        time.Time
 }
 
 func (e *endpoint) listed() bool {
@@ -44,15 +44,15 @@
 	return e.ejectedUntil.After(now)
 }
 
-func (e *endpoint) succeed(now time.Time, took time.Duration) {
+func (e *endpoint) recordSuccess(now time.Time, took time.Duration) {
 	seconds := max(0, took.Seconds())
 	if e.runTime == 0 {
 		e.runTime = seconds
 	}
-	e.runTime += (seconds - e.runTime) / smoothing
-	e.sampled = now
-	e.failures -= e.failures / smoothing
-	e.consecutive = 0
+	e.runTime += (seconds - e.runTime) / smoothingSamples
+	e.sampledAt = now
+	e.failureRatio -= e.failureRatio / smoothingSamples
+	e.consecutiveFailures = 0
 	e.failing = false
 	if e.ramp == 0 {
 		return
@@ -63,12 +63,13 @@
 	}
 }
 
-// fail reports whether the endpoint should be ejected. One failure is enough
-// while it returns from an ejection.
-func (e *endpoint) fail(limit int) bool {
-	e.failures += (1 - e.failures) / smoothing
-	e.consecutive++
-	if e.consecutive >= limit || (e.ejections > 0 && e.ramp > 0) {
+// recordFailure records a failure and reports whether the endpoint should be
+// ejected: after limit consecutive failures, or after one failure while it
+// returns from an ejection.
+func (e *endpoint) recordFailure(limit int) bool {
+	e.failureRatio += (1 - e.failureRatio) / smoothingSamples
+	e.consecutiveFailures++
+	if e.consecutiveFailures >= limit || (e.ejections > 0 && e.ramp > 0) {
 		e.failing = true
 	}
 	return e.failing
@@ -78,19 +79,20 @@
 	if e.ejected(now) {
 		return
 	}
-	length := base << min(e.ejections, maxEjectionsShift)
+	length := base << min(e.ejections, maxEjectionDoublings)
 	e.ejectedUntil = now.Add(min(length, limit))
 	e.ejections++
-	e.ramp = firstRamp
+	e.ramp = initialRamp
 }
 
-// slowness is the run time as a multiple of the service's median, 1 for the
-// ordinary. It fades without samples, so that a slow endpoint is tried again.
+// slowness returns the run time as a multiple of the service's median, or 1 if
+// the endpoint is not slow. It decays without new samples, so that a slow
+// endpoint is tried again.
 func (e *endpoint) slowness(now time.Time, median float64) float64 {
 	if median <= 0 || e.runTime <= slowFactor*median {
 		return 1
 	}
 	excess := min(e.runTime/median, maxSlowness) - 1
-	halves := now.Sub(e.sampled).Seconds() / slownessHalfLife.Seconds()
+	halves := now.Sub(e.sampledAt).Seconds() / slownessHalfLife.Seconds()
 	return 1 + excess*math.Exp2(-halves)
 }
--- a/internal/route/picker.go
+++ b/internal/route/picker.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// Config constructs a Picker. Zero values take the defaults below.
+// Config configures a Picker. Zero values take the defaults below.
 type Config struct {
-	// Entry is this entry's name.
+	// Entry is the name of this entry.
 	Entry string
-	// DataCentre is this entry's data centre.
+	// DataCentre is the data centre of this entry.
 	DataCentre string
-	// Choices is how many endpoints, drawn at random, are compared; 0 is all.
+	// Choices is the number of randomly drawn endpoints to compare; 0 compares
+	// all.
 	Choices int
-	// RemotePenalty is the load, in slots, that a remote data centre adds;
-	// negative is none.
+	// RemotePenalty is the load, in slots, added to endpoints in other data
+	// centres; a negative value adds none.
 	RemotePenalty float64
-	// PeerWeight is how much a peer's request counts beside one of this entry.
-	// Peers' counts are old by a gossip interval and the same at each entry, so
-	// that at full weight all entries choose the same endpoint.
+	// PeerWeight is the weight of a peer's request relative to one of this
+	// entry. Peers' counts are up to a gossip interval old and the same at each
+	// entry, so at full weight all entries would choose the same endpoint.
 	PeerWeight float64
-	// MaxEjected is the largest fraction of endpoints ejected at a time.
+	// MaxEjected is the maximum fraction of endpoints ejected at a time.
 	MaxEjected float64
-	// EjectAfter is the consecutive failures that eject an endpoint.
+	// EjectAfter is the number of consecutive failures that ejects an endpoint.
 	EjectAfter int
-	// BaseEjection is the first ejection's length; it doubles up to MaxEjection.
+	// BaseEjection is the length of the first ejection. It doubles with each
+	// further one, up to MaxEjection.
 	BaseEjection time.Duration
-	// MaxEjection caps the length of an ejection.
+	// MaxEjection limits the length of an ejection.
 	MaxEjection time.Duration
-	// PeerTimeout is the silence after which a peer's load is dropped.
+	// PeerTimeout is the time after which the load of a silent peer is dropped.
 	PeerTimeout time.Duration
 }
 
@@ -56,14 +58,14 @@
 }
 
 // Picker chooses endpoints for one service at one entry. It is not safe for
-// concurrent use: callers lock per service.
+// concurrent use: callers hold a lock per service.
 type Picker struct {
 	cfg       Config
 	entries   int
-	endpoints []*endpoint // in address order; gone ones stay until unused
+	endpoints []*endpoint // sorted by address; unlisted ones stay while in use
 	byAddress map[netip.AddrPort]*endpoint
 	peers     map[string]*peer
-	median    float64 // run time in seconds over endpoints
+	median    float64 // median run time of the endpoints in seconds
 	samples   []float64
 	usable    []*endpoint
 }
@@ -74,9 +76,9 @@
 	return &Picker{cfg: cfg, entries: 1, byAddress: map[netip.AddrPort]*endpoint{}, peers: map[string]*peer{}}
 }
 
-// SetEndpoints replaces the list. An endpoint that joins a list in use, or
-// that stops leaving, takes load slowly at first. Requests in flight at one
-// that is no longer listed end undisturbed.
+// SetEndpoints replaces the list of endpoints. An endpoint that is added to an
+// existing list, or that is no longer leaving, starts with limited load. Requests
+// in flight at an endpoint that is no longer listed may finish.
 func (p *Picker) SetEndpoints(_ time.Time, list []Endpoint) {
 	first := len(p.endpoints) == 0
 	for _, e := range p.endpoints {
@@ -91,23 +93,24 @@
 		}
 		returned := known && e.Leaving && !spec.Leaving
 		if (!known && !first) || returned {
-			e.ramp = firstRamp
+			e.ramp = initialRamp
 		}
 		e.Endpoint, e.gone = spec, false
 	}
 	slices.SortFunc(p.endpoints, func(a, b *endpoint) int { return a.Address.Compare(b.Address) })
-	p.purge()
+	p.removeUnused()
 	for _, peer := range p.peers {
 		p.applyLoad(peer, peer.load)
 	}
 }
 
-// SetEntries sets the number of entries that share each endpoint's connections.
+// SetEntries sets the number of entries that share the connections of each
+// endpoint.
 func (p *Picker) SetEntries(n int) {
 	p.entries = max(1, n)
 }
 
-// SetPeerLoad takes a peer's gossiped load.
+// SetPeerLoad records the gossiped load of a peer.
 func (p *Picker) SetPeerLoad(now time.Time, name string, load []EndpointLoad) {
 	if name == p.cfg.Entry {
 		return
@@ -118,10 +121,11 @@
 		p.peers[name] = from
 	}
 	p.applyLoad(from, load)
-	from.heard = now
+	from.heardAt = now
 }
 
-// Load appends this entry's requests in flight by endpoint, for gossip.
+// Load appends this entry's requests in flight at each endpoint to a slice, for
+// gossip.
 func (p *Picker) Load(to []EndpointLoad) []EndpointLoad {
 	for _, e := range p.endpoints {
 		if e.inFlight > 0 {
@@ -132,47 +136,48 @@
 }
 
 // Pick chooses an endpoint that is not excluded and counts a request in flight
-// there until Done. It reports false when no endpoint may be used.
+// there until Done. It reports false if no endpoint is usable.
 func (p *Picker) Pick(now time.Time, random Random, exclude []netip.AddrPort) (netip.AddrPort, bool) {
 	p.expirePeers(now)
-	p.collect(now, exclude, false)
+	p.collectUsable(now, exclude, false)
 	if len(p.usable) == 0 {
-		p.collect(now, exclude, true)
+		p.collectUsable(now, exclude, true)
 	}
 	if len(p.usable) == 0 {
 		return netip.AddrPort{}, false
 	}
-	best := p.best(now, random, p.panicking())
-	best.inFlight++
-	return best.Address, true
+	leastLoaded := p.leastLoaded(now, random, p.panicking())
+	leastLoaded.inFlight++
+	return leastLoaded.Address, true
 }
 
-// Done ends a request that Pick counted.
+// Done records the result of a request that Pick counted.
 func (p *Picker) Done(now time.Time, address netip.AddrPort, result Result, took time.Duration) {
 	e, ok := p.byAddress[address]
 	if !ok || e.inFlight == 0 {
-		panic("route: request done at an endpoint that has none in flight")
+		panic("route: Done for an endpoint without requests in flight")
 	}
 	e.inFlight--
 	switch result {
 	case Succeeded:
-		e.succeed(now, took)
+		e.recordSuccess(now, took)
 		p.updateMedian()
 	case Failed:
-		if e.fail(p.cfg.EjectAfter) {
+		if e.recordFailure(p.cfg.EjectAfter) {
 			p.eject(now, e)
 		}
 	case Refused:
-		e.refusedUntil = now.Add(refusalMemory)
+		e.refusedUntil = now.Add(refusalDuration)
 	case Canceled:
 	}
 	if e.gone {
-		p.purge()
+		p.removeUnused()
 	}
 }
 
-// Capacity is the slots of the endpoints in use, for the division of shares. A
-// returning endpoint counts with what the entries' ramps allow.
+// Capacity returns the number of slots at the endpoints in use, for the division
+// of shares. A returning endpoint counts only as many slots as all entries
+// together allow it while it returns.
 func (p *Picker) Capacity(now time.Time) int {
 	slots := 0
 	panicking := p.panicking()
@@ -188,12 +193,13 @@
 	return slots
 }
 
-// refusalMemory is how long an endpoint that refused counts as full.
-const refusalMemory = 20 * time.Millisecond
+// refusalDuration is how long an endpoint counts as full after a refusal.
+const refusalDuration = 20 * time.Millisecond
 
-// collect fills usable; without others, also returning endpoints take more
-// than their ramp allows.
-func (p *Picker) collect(now time.Time, exclude []netip.AddrPort, ignoreRamp bool) {
+// collectUsable fills usable with the endpoints that may get a request. With
+// ignoreRamp, returning endpoints may exceed their ramp, for when there are no
+// others.
+func (p *Picker) collectUsable(now time.Time, exclude []netip.AddrPort, ignoreRamp bool) {
 	p.usable = p.usable[:0]
 	panicking := p.panicking()
 	for _, e := range p.endpoints {
@@ -209,16 +215,16 @@
 	}
 }
 
-// best returns the least loaded of the usable endpoints, or of a random
-// selection of them; equals are drawn from at random.
-func (p *Picker) best(now time.Time, random Random, panicking bool) *endpoint {
+// leastLoaded returns the least loaded of the usable endpoints, or of a random
+// selection of them. Ties are broken at random.
+func (p *Picker) leastLoaded(now time.Time, random Random, panicking bool) *endpoint {
 	n := len(p.usable)
 	compared := n
 	if p.cfg.Choices > 0 {
 		compared = min(n, p.cfg.Choices)
 	}
-	var best *endpoint
-	var least float64
+	var leastLoaded *endpoint
+	var lowest float64
 	for i := range compared {
 		j := i + random.IntN(n-i)
 		p.usable[i], p.usable[j] = p.usable[j], p.usable[i]
@@ -226,23 +232,24 @@
 		if !panicking {
 			score = p.score(now, p.usable[i])
 		}
-		if best == nil || score < least {
-			best, least = p.usable[i], score
+		if leastLoaded == nil || score < lowest {
+			leastLoaded, lowest = p.usable[i], score
 		}
 	}
-	return best
+	return leastLoaded
 }
 
-// score is the load an endpoint would have, as a multiple of its slots, made
-// worse by distance, slowness and failures. When most fail, only load counts:
-// small differences between failing endpoints would draw all work to one.
+// score returns the load that an endpoint would have, as a multiple of its slots,
+// with penalties for distance, slowness and failures. It is not used while most
+// endpoints fail, because small differences between failing endpoints would
+// direct all work to one of them.
 func (p *Picker) score(now time.Time, e *endpoint) float64 {
 	load := float64(e.inFlight+1) + p.cfg.PeerWeight*float64(e.peers)
 	if e.DataCentre != p.cfg.DataCentre {
 		load += p.cfg.RemotePenalty
 	}
 	slots := float64(max(1, e.Slots))
-	score := load / slots * e.slowness(now, p.median) * (1 + failurePenalty*e.failures)
+	score := load / slots * e.slowness(now, p.median) * (1 + failurePenalty*e.failureRatio)
 	if e.inFlight >= e.Slots || e.refusedUntil.After(now) {
 		score += fullPenalty
 	}
@@ -254,8 +261,8 @@
 	fullPenalty    = 100
 )
 
-// panicking reports that so many endpoints fail that the service, not they,
-// must be at fault; ejections are then ignored.
+// panicking reports whether so many endpoints fail that the cause is likely the
+// service rather than the endpoints. Ejections are then ignored.
 func (p *Picker) panicking() bool {
 	failing, listed := 0, 0
 	for _, e := range p.endpoints {
@@ -270,8 +277,9 @@
 	return failing > int(p.cfg.MaxEjected*float64(listed))
 }
 
-// eject takes the endpoint out unless too many would be out. When most fail,
-// all come back, so that they are in use once the service recovers.
+// eject ejects the endpoint unless too many would be ejected. When most endpoints
+// fail, it ends all ejections, so that every endpoint is in use once the service
+// recovers.
 func (p *Picker) eject(now time.Time, e *endpoint) {
 	if p.panicking() {
 		for _, other := range p.endpoints {
@@ -306,8 +314,8 @@
 	p.median = p.samples[(len(p.samples)-1)/2]
 }
 
-// purge forgets endpoints that are neither listed nor in use.
-func (p *Picker) purge() {
+// removeUnused removes endpoints that are neither listed nor in use.
+func (p *Picker) removeUnused() {
 	p.endpoints = slices.DeleteFunc(p.endpoints, func(e *endpoint) bool {
 		unused := e.gone && e.inFlight == 0
 		if unused {
@@ -319,14 +327,14 @@
 
 func (p *Picker) expirePeers(now time.Time) {
 	for name, from := range p.peers {
-		if now.Sub(from.heard) > p.cfg.PeerTimeout {
+		if now.Sub(from.heardAt) > p.cfg.PeerTimeout {
 			p.applyLoad(from, nil)
 			delete(p.peers, name)
 		}
 	}
 }
 
-// applyLoad replaces a peer's load and keeps each endpoint's sum over peers.
+// applyLoad replaces a peer's load and updates each endpoint's sum over all peers.
 func (p *Picker) applyLoad(from *peer, load []EndpointLoad) {
 	from.load = append(from.load[:0], load...)
 	for _, e := range p.endpoints {
@@ -341,8 +349,8 @@
 	}
 }
 
-// peer is the last message of another entry.
+// peer holds the last load received from another entry.
 type peer struct {
-	heard time.Time
-	load  []EndpointLoad
+	heardAt time.Time
+	load    []EndpointLoad
 }
--- a/internal/route/picker_test.go
+++ b/internal/route/picker_test.go
@@ -23,18 +23,18 @@
 	return list
 }
 
-// machine drives a picker at random and knows what it may do.
-type machine struct {
-	t       *rapid.T
-	now     time.Time
-	picker  *Picker
-	random  *rand.Rand
-	list    map[netip.AddrPort]Endpoint
-	flying  []netip.AddrPort
-	entries int
+// pickerModel drives a picker with random events and tracks the expected state.
+type pickerModel struct {
+	t        *rapid.T
+	now      time.Time
+	picker   *Picker
+	random   *rand.Rand
+	list     map[netip.AddrPort]Endpoint
+	inFlight []netip.AddrPort
+	entries  int
 }
 
-func (m *machine) setEndpoints() {
+func (m *pickerModel) setEndpoints() {
 	var list []Endpoint
 	m.list = map[netip.AddrPort]Endpoint{}
 	for _, e := range endpoints(10) {
@@ -48,11 +48,11 @@
 	m.picker.SetEndpoints(m.now, list)
 }
 
-func (m *machine) pick() {
+func (m *pickerModel) pick() {
 	exclude := []netip.AddrPort{address(rapid.IntRange(0, 9).Draw(m.t, "exclude"))}
 	before := m.picker.State(m.now)
 	own := map[netip.AddrPort]int{}
-	for _, addr := range m.flying {
+	for _, addr := range m.inFlight {
 		own[addr]++
 	}
 	free := 0
@@ -64,7 +64,7 @@
 	got, ok := m.picker.Pick(m.now, m.random, exclude)
 	if !ok {
 		if out := m.ejected(before); free > out {
-			m.t.Fatalf("got no endpoint of %d free, %d ejected", free, out)
+			m.t.Fatalf("got no endpoint, though %d are free and %d ejected", free, out)
 		}
 		return
 	}
@@ -77,10 +77,10 @@
 			m.t.Fatalf("got ejected endpoint %v", got)
 		}
 	}
-	m.flying = append(m.flying, got)
+	m.inFlight = append(m.inFlight, got)
 }
 
-func (m *machine) ejected(state State) int {
+func (m *pickerModel) ejected(state State) int {
 	out := 0
 	for _, e := range state.Endpoints {
 		if e.EjectedUntil.After(m.now) && !e.Leaving {
@@ -90,11 +90,11 @@
 	return out
 }
 
-func (m *machine) done() {
-	if len(m.flying) == 0 {
+func (m *pickerModel) done() {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.flying)-1).Draw(m.t, "request")
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(m.t, "request")
 	result := rapid.SampledFrom([]Result{Succeeded, Failed, Failed, Failed, Refused, Canceled}).Draw(m.t, "result")
 	listed := 0
 	for _, e := range m.list {
@@ -103,17 +103,20 @@
 		}
 	}
 	before := m.ejected(m.picker.State(m.now))
-	m.picker.Done(m.now, m.flying[i], result, 50*time.Millisecond)
-	m.flying = append(m.flying[:i], m.flying[i+1:]...)
+	m.picker.Done(m.now, m.inFlight[i], result, 50*time.Millisecond)
+	m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
 	after := m.ejected(m.picker.State(m.now))
 	if after > before && after > listed/2 {
 		m.t.Fatalf("got %d of %d endpoints ejected", after, listed)
 	}
 }
 
+// TestPicker checks under random events that a picked endpoint is listed, not
+// excluded, not ejected and within its connections, and that no more than half of
+// the endpoints are ejected.
 func TestPicker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{t: t, now: epoch, random: rand.New(rand.NewPCG(1, 2)), entries: rapid.IntRange(1, 7).Draw(t, "entries")}
+		m := &pickerModel{t: t, now: epoch, random: rand.New(rand.NewPCG(1, 2)), entries: rapid.IntRange(1, 7).Draw(t, "entries")}
 		m.picker = New(Config{Entry: "e0", DataCentre: "a", EjectAfter: 2})
 		m.picker.SetEntries(m.entries)
 		m.setEndpoints()
@@ -132,19 +135,20 @@
 				m.pick()
 			}
 		}
-		for len(m.flying) > 0 {
+		for len(m.inFlight) > 0 {
 			m.done()
 		}
 		m.picker.SetEndpoints(m.now, nil)
 		if got := len(m.picker.endpoints); got != 0 {
-			t.Fatalf("got %d endpoints kept without use", got)
+			t.Fatalf("got %d unlisted endpoints without requests in flight, want none", got)
 		}
 	})
 }
 
-// simulate runs one entry for 20 s of virtual time at a request each
-// millisecond, 50 ms a run, and counts the requests that each endpoint got in
-// the last half; behave gives the result and run time by endpoint.
+// simulate runs one entry for 20 s of virtual time with a request each
+// millisecond, and counts the requests that each endpoint got in the second half.
+// The function behave returns the result and run time of a request at an
+// endpoint; a healthy one takes 50 ms.
 func simulate(p *Picker, behave func(i int, now time.Time) (Result, time.Duration)) (counts [8]int, now time.Time) {
 	random := rand.New(rand.NewPCG(3, 4))
 	ends := map[time.Time][]func(time.Time){}
@@ -172,9 +176,9 @@
 func TestUnhealthyEndpoints(t *testing.T) {
 	healthy := 50 * time.Millisecond
 	for name, tc := range map[string]struct {
-		behave func(i int, now time.Time) (Result, time.Duration)
-		least  int // at endpoint 0 in 10 s; an even part is 1250
-		most   int
+		behave      func(i int, now time.Time) (Result, time.Duration)
+		minRequests int // at endpoint 0 in 10 s; an equal share is 1250
+		maxRequests int
 	}{
 		"healthy": {func(int, time.Time) (Result, time.Duration) { return Succeeded, healthy }, 900, 1600},
 		"fails at once": {func(i int, _ time.Time) (Result, time.Duration) {
@@ -207,8 +211,8 @@
 			p := New(Config{Entry: "e0", DataCentre: "a", RemotePenalty: -1})
 			p.SetEndpoints(epoch, endpoints(8))
 			counts, now := simulate(p, tc.behave)
-			if got := counts[0]; got < tc.least || got > tc.most {
-				t.Errorf("got %d requests at endpoint 0 of %v, want %d to %d", got, counts, tc.least, tc.most)
+			if got := counts[0]; got < tc.minRequests || got > tc.maxRequests {
+				t.Errorf("got %d requests at endpoint 0 of %v, want %d to %d", got, counts, tc.minRequests, tc.maxRequests)
 			}
 			if got := p.State(now).Panicking; got != (name == "all fail") {
 				t.Errorf("got panicking %v", got)
@@ -217,15 +221,15 @@
 	}
 }
 
-func TestReturningEndpointTakesLoadSlowly(t *testing.T) {
+func TestNewEndpointRampsUp(t *testing.T) {
 	p, random := New(Config{Entry: "e0", DataCentre: "a"}), rand.New(rand.NewPCG(5, 6))
 	p.SetEndpoints(epoch, endpoints(3))
 	p.SetEndpoints(epoch, endpoints(4))
 	for range 20 {
 		p.Pick(epoch, random, nil)
 	}
-	if got := p.State(epoch).Endpoints[3].InFlight; got != firstRamp {
-		t.Errorf("got %d requests in flight at the new endpoint, want %d", got, firstRamp)
+	if got := p.State(epoch).Endpoints[3].InFlight; got != initialRamp {
+		t.Errorf("requests in flight at the new endpoint: got %d, want %d", got, initialRamp)
 	}
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,10 +1,11 @@
 // Package route chooses the endpoint for a request of one service.
 //
-// The choice is the least loaded of the usable endpoints, where load is the
-// requests in flight from this entry and, by gossip and at a lower weight, from
-// its peers, relative to the endpoint's slots. Slow endpoints, endpoints that
-// fail and remote data centres count as more loaded. An endpoint that keeps failing is ejected for a time and returns slowly; when most fail
-// together nothing is ejected, so that the load stays even.
+// It chooses the least loaded of the usable endpoints. The load of an endpoint is
+// the number of requests in flight relative to its slots: those from this entry
+// and, at a lower weight, those that peers report by gossip. Slow or failing
+// endpoints and those in other data centres count as more loaded. An endpoint
+// that keeps failing is ejected for a time and then returns with limited load.
+// When most endpoints fail, none is ejected, so that the load stays even.
 //
 // # Usage
 //
@@ -15,19 +16,19 @@
 //	p.SetEndpoints(now, endpoints) // at every change of the list
 //	p.SetEntries(7)                // at every change of the roster
 //	addr, ok := p.Pick(now, random, tried)
-//	if !ok { // no endpoint may be used: the request did not run
+//	if !ok { // no endpoint is usable: the request did not run
 //	}
-//	// send it, then
+//	// send the request, then
 //	p.Done(now, addr, route.Succeeded, took)
 //
-// Every gossip interval send p.Load to the peers, and hand each received
-// message to p.SetPeerLoad. p.Capacity feeds share.Scheduler.SetCapacity.
+// At every gossip interval send p.Load to the peers, and pass each received
+// message to p.SetPeerLoad. Pass p.Capacity to share.Scheduler.SetCapacity.
 package route
 
 import "net/netip"
 
-// Endpoint is one endpoint of the service as the catalogue and the platform's
-// list describe it. A leaving endpoint gets no new work.
+// Endpoint describes an endpoint of the service, as given by the catalogue and
+// the platform's list. A leaving endpoint gets no new work.
 type Endpoint struct {
 	Address     netip.AddrPort
 	DataCentre  string
@@ -36,17 +37,17 @@
 	Leaving     bool
 }
 
-// EndpointLoad is the requests in flight at an endpoint from one entry.
+// EndpointLoad is the number of requests in flight at an endpoint from one entry.
 type EndpointLoad struct {
 	Address  netip.AddrPort `json:"address"`
 	InFlight int            `json:"in-flight"`
 }
 
-// Result is what an attempt tells of its endpoint's health.
+// Result is the result of an attempt with regard to the endpoint's health.
 type Result uint8
 
-// The results of an attempt. Refused means that the endpoint had no free slot;
-// Canceled means that the attempt ended for a reason of the caller's.
+// Results of an attempt. Refused means that the endpoint had no free slot.
+// Canceled means that the attempt ended for a reason on the caller's side.
 const (
 	Succeeded Result = iota
 	Failed
@@ -54,7 +55,7 @@
 	Canceled
 )
 
-// Random is the source of randomness; *rand.Rand of math/rand/v2 is one.
+// Random is a source of random numbers, such as *rand.Rand of math/rand/v2.
 type Random interface {
 	IntN(n int) int
 }
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// State is the picker's part of a dump.
+// State is the state of a picker in a dump.
 type State struct {
 	Capacity  int             `json:"capacity"`
 	Panicking bool            `json:"panicking"`
 	Endpoints []EndpointState `json:"endpoints"`
 }
 
-// EndpointState is what this entry knows of an endpoint.
+// EndpointState is this entry's state of an endpoint in a dump.
 type EndpointState struct {
 	Address       netip.AddrPort `json:"address"`
 	DataCentre    string         `json:"data-centre"`
@@ -25,7 +25,7 @@
 	Ramp          int            `json:"ramp,omitempty"`
 }
 
-// State reports what the picker knows, for the operators' dump.
+// State returns the picker's state for the operators' dump.
 func (p *Picker) State(now time.Time) State {
 	out := State{Capacity: p.Capacity(now), Panicking: p.panicking()}
 	for _, e := range p.endpoints {
@@ -36,7 +36,7 @@
 			InFlight:      e.inFlight,
 			PeersInFlight: e.peers,
 			MeanRunTime:   time.Duration(e.runTime * float64(time.Second)).String(),
-			FailureRatio:  e.failures,
+			FailureRatio:  e.failureRatio,
 			EjectedUntil:  e.ejectedUntil,
 			Ramp:          e.ramp,
 		})
