--- a/internal/claim/bucket.go
+++ b/internal/claim/bucket.go
@@ -12,7 +12,7 @@
 	key      string
 	home     roster.Member
 	second   roster.Member
-	standing roster.Standing
+	standing roster.KeyState
 	lostAt   time.Time
 	loaded   bool
 	loading  bool
@@ -22,7 +22,7 @@
 
 // newBucket returns an empty bucket.
 func newBucket(number int) *bucket {
-	return &bucket{number: number, key: BucketKey(number), standing: roster.Waiting, entries: make(map[ID]*entry)}
+	return &bucket{number: number, key: BucketKey(number), standing: roster.Pending, entries: make(map[ID]*entry)}
 }
 
 // entry is what this process holds of one id.
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -205,7 +205,7 @@
 // obstacle says why no claim may be made on the id now.
 func (h *Holder) obstacle(now time.Time, b *bucket, id ID) Reason {
 	switch b.standing {
-	case roster.Waiting:
+	case roster.Pending:
 		return ReasonNotSynced
 	case roster.Lost:
 		if now.Before(b.lostAt.Add(h.config.Retention)) && !freshSince(id.Key, b.lostAt, now, h.config.Skew) {
@@ -224,7 +224,7 @@
 	switch {
 	case reason == ReasonHoldersLost:
 		answer.RetryAt = b.lostAt.Add(h.config.Retention)
-	case b.loaded && b.standing != roster.Waiting && answer.Record.open(now):
+	case b.loaded && b.standing != roster.Pending && answer.Record.open(now):
 		answer.Outcome = OutcomeNotRun
 	}
 	h.answer(answer)
--- a/internal/claim/membership.go
+++ b/internal/claim/membership.go
@@ -54,7 +54,7 @@
 func (h *Holder) assess() {
 	h.acks[h.config.Self] = h.roster.Version
 	for _, b := range h.buckets {
-		b.standing = roster.Waiting
+		b.standing = roster.Pending
 		if b.home.Identity == h.config.Self {
 			b.standing, b.lostAt = h.roster.Status(b.key, h.acks)
 		}
@@ -138,7 +138,7 @@
 // waits reports whether a bucket of this home waits for others.
 func (h *Holder) waits() bool {
 	for _, b := range h.buckets {
-		if b.home.Identity == h.config.Self && b.standing == roster.Waiting {
+		if b.home.Identity == h.config.Self && b.standing == roster.Pending {
 			return true
 		}
 	}
@@ -165,7 +165,7 @@
 	return b.home.Identity == h.config.Self &&
 		!b.loaded &&
 		!b.loading &&
-		b.standing != roster.Waiting &&
+		b.standing != roster.Pending &&
 		!now.Before(b.retryAt)
 }
 
--- a/internal/manager/hosts.go
+++ b/internal/manager/hosts.go
@@ -187,7 +187,7 @@
 			senders = append(senders, pool.Sender(member.Identity))
 		}
 	}
-	for _, departure := range members.Gone {
+	for _, departure := range members.Departures {
 		gone = append(gone, pool.Sender(departure.Identity))
 	}
 	return senders, gone
--- a/internal/roster/pair.go
+++ b/internal/roster/pair.go
@@ -4,20 +4,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pair chooses home and second among the active members by rendezvous hashing.
-// The second stands in another data centre where it can, so that the loss of
-// one data centre does not take both.
-func pair(active []Member, key string) (home, second Member) {
-	home = best(active, key, func(Member) bool { return true })
-	second = best(active, key, func(m Member) bool { return m.DataCentre != home.DataCentre })
-	if second.Name == "" {
-		second = best(active, key, func(m Member) bool { return m.Name != home.Name })
+// pair chooses the primary and secondary entry of a key among the active members
+// by rendezvous hashing. The secondary is in another data centre if possible, so
+// that the loss of one data centre does not affect both.
+func pair(active []Member, key string) (primary, secondary Member) {
+	primary = highestWeight(active, key, func(Member) bool { return true })
+	secondary = highestWeight(active, key, func(m Member) bool { return m.DataCentre != primary.DataCentre })
+	if secondary.Name == "" {
+		secondary = highestWeight(active, key, func(m Member) bool { return m.Name != primary.Name })
 	}
-	return home, second
+	return primary, secondary
 }
 
-// best returns the member with the highest weight for key among the allowed.
-func best(active []Member, key string, allowed func(Member) bool) Member {
+// highestWeight returns the allowed member with the highest hash for the key.
+func highestWeight(active []Member, key string, allowed func(Member) bool) Member {
 	var winner Member
 	var highest uint64
 	for _, member := range active {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func joined(names ...string) roster.Roster {
+func rosterOf(names ...string) roster.Roster {
 	var r roster.Roster
 	for _, name := range names {
 		r, _ = roster.Join(r, entry(name, 1), epoch)
@@ -38,35 +38,35 @@
 func TestChange(t *testing.T) {
 	elsewhere := entry("a", 2)
 	elsewhere.Address = netip.MustParseAddrPort("127.0.0.2:1")
-	left, _ := roster.Leave(joined("a", "b"), roster.Identity{Name: "a", Incarnation: 1})
+	left, _ := roster.Leave(rosterOf("a", "b"), roster.Identity{Name: "a", Incarnation: 1})
 	tests := map[string]struct {
 		from   roster.Roster
 		change func(roster.Roster) (roster.Roster, bool)
 		want   bool
 		gone   int
 	}{
-		"new member": {from: joined("a"), want: true, change: func(r roster.Roster) (roster.Roster, bool) {
+		"new member": {from: rosterOf("a"), want: true, change: func(r roster.Roster) (roster.Roster, bool) {
 			return roster.Join(r, entry("b", 1), epoch)
 		}},
-		"same incarnation again": {from: joined("a"), change: func(r roster.Roster) (roster.Roster, bool) {
+		"same incarnation again": {from: rosterOf("a"), change: func(r roster.Roster) (roster.Roster, bool) {
 			return roster.Join(r, entry("a", 1), epoch)
 		}},
-		"newer incarnation at its address": {from: joined("a"), want: true, gone: 1, change: func(r roster.Roster) (roster.Roster, bool) {
+		"newer incarnation at its address": {from: rosterOf("a"), want: true, gone: 1, change: func(r roster.Roster) (roster.Roster, bool) {
 			return roster.Join(r, entry("a", 2), epoch)
 		}},
-		"newer incarnation elsewhere proves nothing": {from: joined("a"), change: func(r roster.Roster) (roster.Roster, bool) {
+		"newer incarnation at another address": {from: rosterOf("a"), change: func(r roster.Roster) (roster.Roster, bool) {
 			return roster.Join(r, elsewhere, epoch)
 		}},
-		"removal without evidence": {from: joined("a"), change: func(r roster.Roster) (roster.Roster, bool) {
+		"removal without evidence": {from: rosterOf("a"), change: func(r roster.Roster) (roster.Roster, bool) {
 			return roster.Remove(r, entry("a", 1).Identity, "", epoch)
 		}},
-		"removal of another incarnation": {from: joined("a"), change: func(r roster.Roster) (roster.Roster, bool) {
+		"removal of another incarnation": {from: rosterOf("a"), change: func(r roster.Roster) (roster.Roster, bool) {
 			return roster.Remove(r, entry("a", 2).Identity, roster.EvidenceHostGone, epoch)
 		}},
-		"removal of a host that is gone": {from: joined("a", "b"), want: true, gone: 1, change: func(r roster.Roster) (roster.Roster, bool) {
+		"removal of a host that is gone": {from: rosterOf("a", "b"), want: true, gone: 1, change: func(r roster.Roster) (roster.Roster, bool) {
 			return roster.Remove(r, entry("a", 1).Identity, roster.EvidenceHostGone, epoch)
 		}},
-		"acknowledgement of an active member": {from: joined("a"), change: func(r roster.Roster) (roster.Roster, bool) {
+		"acknowledgement of an active member": {from: rosterOf("a"), change: func(r roster.Roster) (roster.Roster, bool) {
 			return roster.Remove(r, entry("a", 1).Identity, roster.EvidenceAcknowledged, epoch)
 		}},
 		"acknowledgement of a leaving member": {from: left, want: true, change: func(r roster.Roster) (roster.Roster, bool) {
@@ -86,7 +86,7 @@
 			if next.Version != wantVersion {
 				t.Errorf("version: got %d, want %d", next.Version, wantVersion)
 			}
-			if got := len(next.Gone); got != tc.gone {
+			if got := len(next.Departures); got != tc.gone {
 				t.Errorf("departures: got %d, want %d", got, tc.gone)
 			}
 		})
@@ -94,8 +94,8 @@
 }
 
 func TestStatus(t *testing.T) {
-	before := joined("a", "b", "c")
-	key := keyOf(before, "a", "b")
+	before := rosterOf("a", "b", "c")
+	key := keyWithPair(before, "a", "b")
 	version := before.Version
 	gone := func(r roster.Roster, names ...string) roster.Roster {
 		for _, name := range names {
@@ -107,19 +107,19 @@
 	tests := map[string]struct {
 		now  roster.Roster
 		acks roster.Acks
-		want roster.Standing
+		want roster.KeyState
 	}{
-		"home left, nothing acknowledged":            {now: left, want: roster.Waiting},
-		"home is cut off, second acknowledged":       {now: left, acks: roster.Acks{entry("b", 1).Identity: version + 1}, want: roster.Waiting},
-		"home acknowledged":                          {now: left, acks: roster.Acks{entry("a", 1).Identity: version + 1}, want: roster.Settled},
-		"home acknowledged the former version":       {now: left, acks: roster.Acks{entry("a", 1).Identity: version}, want: roster.Waiting},
-		"home gone, second has not flushed":          {now: gone(before, "a"), want: roster.Waiting},
-		"home gone, second acknowledged":             {now: gone(before, "a"), acks: roster.Acks{entry("b", 1).Identity: version + 1}, want: roster.Settled},
-		"both gone":                                  {now: gone(before, "a", "b"), acks: roster.Acks{entry("c", 1).Identity: version + 2}, want: roster.Lost},
-		"both gone, the next second has not flushed": {now: gone(before, "a", "b"), want: roster.Waiting},
-		"both gone, second acknowledged in time":     {now: gone(before, "a", "b"), acks: roster.Acks{entry("b", 1).Identity: version + 2, entry("c", 1).Identity: version + 2}, want: roster.Settled},
-		"second gone, home acknowledged":             {now: gone(before, "b"), acks: roster.Acks{entry("a", 1).Identity: version + 1}, want: roster.Settled},
-		"home of a later generation acknowledged":    {now: gone(before, "a"), acks: roster.Acks{entry("c", 1).Identity: version + 1}, want: roster.Waiting},
+		"primary left, nothing acknowledged":          {now: left, want: roster.Pending},
+		"primary unreachable, secondary acknowledged": {now: left, acks: roster.Acks{entry("b", 1).Identity: version + 1}, want: roster.Pending},
+		"primary acknowledged":                        {now: left, acks: roster.Acks{entry("a", 1).Identity: version + 1}, want: roster.Reconciled},
+		"primary acknowledged the former version":     {now: left, acks: roster.Acks{entry("a", 1).Identity: version}, want: roster.Pending},
+		"primary gone, secondary not acknowledged":    {now: gone(before, "a"), want: roster.Pending},
+		"primary gone, secondary acknowledged":        {now: gone(before, "a"), acks: roster.Acks{entry("b", 1).Identity: version + 1}, want: roster.Reconciled},
+		"both gone":                                   {now: gone(before, "a", "b"), acks: roster.Acks{entry("c", 1).Identity: version + 2}, want: roster.Lost},
+		"both gone, next secondary not acknowledged":  {now: gone(before, "a", "b"), want: roster.Pending},
+		"both gone, secondary acknowledged in time":   {now: gone(before, "a", "b"), acks: roster.Acks{entry("b", 1).Identity: version + 2, entry("c", 1).Identity: version + 2}, want: roster.Reconciled},
+		"secondary gone, primary acknowledged":        {now: gone(before, "b"), acks: roster.Acks{entry("a", 1).Identity: version + 1}, want: roster.Reconciled},
+		"primary of a later generation acknowledged":  {now: gone(before, "a"), acks: roster.Acks{entry("c", 1).Identity: version + 1}, want: roster.Pending},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -135,30 +135,31 @@
 	}
 }
 
-func TestObsolete(t *testing.T) {
-	r, _ := roster.Join(joined("a", "b"), entry("a", 2), epoch)
+func TestObsoleteAcks(t *testing.T) {
+	r, _ := roster.Join(rosterOf("a", "b"), entry("a", 2), epoch)
 	acks := roster.Acks{entry("a", 1).Identity: 2, entry("a", 2).Identity: 3, entry("b", 1).Identity: 3, entry("c", 1).Identity: 1}
-	if got := fmt.Sprint(r.Obsolete(acks)); got != "[c/1]" {
+	if got := fmt.Sprint(r.ObsoleteAcks(acks)); got != "[c/1]" {
 		t.Errorf("got %s, want [c/1]: a/1 is part of a former generation", got)
 	}
 }
 
-func keyOf(r roster.Roster, home, second string) string {
+func keyWithPair(r roster.Roster, primary, secondary string) string {
 	for i := 0; ; i++ {
 		key := fmt.Sprint(i)
 		first, next := r.Pair(key)
-		if first.Name == home && next.Name == second {
+		if first.Name == primary && next.Name == secondary {
 			return key
 		}
 	}
 }
 
-// A change moves only the keys of the members that it concerns, pairs stand in
-// two data centres, and no value is modified in place.
+// TestPairProperties checks that a leaving member moves only its own keys, that
+// the entries of a pair differ and are in two data centres if there are two, and
+// that no value is modified in place.
 func TestPairProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{3}`), 2, 9, rapid.ID).Draw(t, "names")
-		before := joined(names...)
+		before := rosterOf(names...)
 		encoded := string(before.Encode())
 		leaver := rapid.SampledFrom(names).Draw(t, "leaver")
 		after, _ := roster.Leave(before, entry(leaver, 1).Identity)
@@ -168,16 +169,16 @@
 		}
 		for i := range 64 {
 			key := fmt.Sprint(i)
-			home, second := before.Pair(key)
-			if home.Name == second.Name {
-				t.Fatalf("key %s has one holder, %s", key, home.Name)
+			primary, secondary := before.Pair(key)
+			if primary.Name == secondary.Name {
+				t.Fatalf("key %s has one holder, %s", key, primary.Name)
 			}
-			if len(centres) > 1 && home.DataCentre == second.DataCentre {
-				t.Fatalf("key %s has both holders in %s", key, home.DataCentre)
+			if len(centres) > 1 && primary.DataCentre == secondary.DataCentre {
+				t.Fatalf("key %s has both holders in %s", key, primary.DataCentre)
 			}
 			moved, _ := after.Pair(key)
-			if home.Name != leaver && moved.Name != home.Name {
-				t.Fatalf("key %s moved from %s to %s, though %s left", key, home.Name, moved.Name, leaver)
+			if primary.Name != leaver && moved.Name != primary.Name {
+				t.Fatalf("key %s moved from %s to %s, though %s left", key, primary.Name, moved.Name, leaver)
 			}
 		}
 		if got := string(before.Encode()); got != encoded {
--- a/internal/roster/status.go
+++ b/internal/roster/status.go
@@ -8,22 +8,24 @@
 	"time"
 )
 
-// AckPrefix starts the keys of the acknowledgement rows, one for each identity.
+// AckPrefix is the prefix of the keys of acknowledgement rows.
 const AckPrefix = "roster-ack/"
 
-// AckKey is the row in which the member acknowledges roster versions.
+// AckKey returns the key of the row in which the member acknowledges roster
+// versions.
 func AckKey(id Identity) string {
 	return AckPrefix + id.String()
 }
 
-// Ack is the value of an acknowledgement row: the member no longer acts under
-// versions below Version, and what it granted under them is in the table.
+// Ack is the value of an acknowledgement row. The member no longer acts under
+// versions below Version, and everything that it granted under them is in the
+// table.
 type Ack struct {
 	Identity
 	Version uint64 `json:"version"`
 }
 
-// Encode returns the row's value.
+// Encode returns the value of the acknowledgement row.
 func (a Ack) Encode() []byte {
 	value, err := json.Marshal(a)
 	if err != nil {
@@ -32,25 +34,25 @@
 	return value
 }
 
-// Acks maps each identity to the version that it acknowledged.
+// Acks maps each identity to the newest version that it acknowledged.
 type Acks map[Identity]uint64
 
-// Add decodes an acknowledgement row into the map.
+// Add decodes the value of an acknowledgement row and adds it to the map.
 func (a Acks) Add(value []byte) error {
 	var ack Ack
 	if err := json.Unmarshal(value, &ack); err != nil {
-		return fmt.Errorf("acknowledgement row does not decode: %w", err)
+		return fmt.Errorf("decode acknowledgement row: %w", err)
 	}
 	a[ack.Identity] = max(a[ack.Identity], ack.Version)
 	return nil
 }
 
-// Obsolete returns the identities whose acknowledgement rows can be deleted:
+// ObsoleteAcks returns the identities whose acknowledgement rows can be deleted:
 // they are neither members nor part of a former generation.
-func (r Roster) Obsolete(acks Acks) []Identity {
+func (r Roster) ObsoleteAcks(acks Acks) []Identity {
 	var obsolete []Identity
 	for id := range acks {
-		if !r.Contains(id) && !mentions(r.Past, id) {
+		if !r.Contains(id) && !activeIn(r.Past, id) {
 			obsolete = append(obsolete, id)
 		}
 	}
@@ -58,80 +60,82 @@
 	return obsolete
 }
 
-// Standing tells whether the present home of a key may act on it.
-type Standing int
+// KeyState tells whether the present primary of a key may act on it.
+type KeyState int
 
-// Standings of a key.
+// States of a key.
 const (
-	// Settled: all that former homes granted is in the table.
-	Settled Standing = iota
-	// Waiting: a former home may still act, or its grants are not flushed.
-	Waiting
-	// Lost: home and second of a former generation both ended unflushed.
+	// Reconciled: all grants of former primaries are in the table.
+	Reconciled KeyState = iota
+	// Pending: a former primary may still act, or its grants may not be in the
+	// table yet.
+	Pending
+	// Lost: the primary and the secondary of a former generation both ended
+	// before their grants were in the table.
 	Lost
 )
 
-// Status returns the standing of key, and the time of the latest loss if it is
-// Lost. A former generation is settled by its home's acknowledgement, or by its
-// second's once the home is proven gone. A home that is merely cut off keeps
-// the key waiting: it could still answer for it.
-func (r Roster) Status(key string, acks Acks) (standing Standing, lostAt time.Time) {
+// Status returns the state of a key, and the time of the latest loss if it is
+// Lost. A former generation is reconciled by the acknowledgement of its primary,
+// or of its secondary once the primary is proven to have ended. A primary that is
+// only unreachable keeps the key pending, because it could still act on it.
+func (r Roster) Status(key string, acks Acks) (state KeyState, lostAt time.Time) {
 	for _, generation := range r.Past {
-		state, at := generation.status(key, acks, r.Gone)
-		if state == Waiting {
-			return Waiting, time.Time{}
+		former, at := generation.status(key, acks, r.Departures)
+		if former == Pending {
+			return Pending, time.Time{}
 		}
-		if state == Lost && !at.Before(lostAt) {
-			standing = Lost
+		if former == Lost && !at.Before(lostAt) {
+			state = Lost
 			lostAt = at
 		}
 	}
-	return standing, lostAt
+	return state, lostAt
 }
 
-// status returns the standing of key with regard to this generation.
-func (g Generation) status(key string, acks Acks, gone []Departure) (Standing, time.Time) {
-	home, second := g.Pair(key)
-	if acks[home.Identity] > g.Version {
-		return Settled, time.Time{}
+// status returns the state of a key with regard to this generation.
+func (g Generation) status(key string, acks Acks, departures []Departure) (KeyState, time.Time) {
+	primary, secondary := g.Pair(key)
+	if acks[primary.Identity] > g.Version {
+		return Reconciled, time.Time{}
 	}
-	homeAt, homeGone := departed(gone, home.Identity)
-	if !homeGone {
-		return Waiting, time.Time{}
+	primaryAt, primaryGone := departureTime(departures, primary.Identity)
+	if !primaryGone {
+		return Pending, time.Time{}
 	}
-	// Without a second nothing can have been granted outside the table.
-	if second.Name == "" || acks[second.Identity] > g.Version {
-		return Settled, time.Time{}
+	// Without a secondary nothing can have been granted outside the table.
+	if secondary.Name == "" || acks[secondary.Identity] > g.Version {
+		return Reconciled, time.Time{}
 	}
-	secondAt, secondGone := departed(gone, second.Identity)
-	if !secondGone {
-		return Waiting, time.Time{}
+	secondaryAt, secondaryGone := departureTime(departures, secondary.Identity)
+	if !secondaryGone {
+		return Pending, time.Time{}
 	}
-	if secondAt.After(homeAt) {
-		return Lost, secondAt
+	if secondaryAt.After(primaryAt) {
+		return Lost, secondaryAt
 	}
-	return Lost, homeAt
+	return Lost, primaryAt
 }
 
-// closed reports whether every key is settled, or was lost before the limit.
-func (g Generation) closed(keys []string, acks Acks, gone []Departure, limit time.Time) bool {
+// prunable reports whether each key is reconciled, or was lost before the limit.
+func (g Generation) prunable(keys []string, acks Acks, departures []Departure, limit time.Time) bool {
 	for _, key := range keys {
-		standing, at := g.status(key, acks, gone)
-		if standing == Waiting {
+		state, at := g.status(key, acks, departures)
+		if state == Pending {
 			return false
 		}
-		if standing == Lost && at.After(limit) {
+		if state == Lost && at.After(limit) {
 			return false
 		}
 	}
 	return true
 }
 
-// departed returns when the identity was proven gone.
-func departed(gone []Departure, id Identity) (at time.Time, ok bool) {
-	i := slices.IndexFunc(gone, func(d Departure) bool { return d.Identity == id })
+// departureTime returns the time at which the identity was proven to have ended.
+func departureTime(departures []Departure, id Identity) (at time.Time, ok bool) {
+	i := slices.IndexFunc(departures, func(d Departure) bool { return d.Identity == id })
 	if i < 0 {
 		return time.Time{}, false
 	}
-	return gone[i].At, true
+	return departures[i].At, true
 }
