--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -11,10 +11,10 @@
 	// fullnessSteps is the number of levels to which the fullness of workers is
 	// rounded. Among workers of the same level the spread over racks decides.
 	fullnessSteps = 8
-	// preemptionReservation is short, so that urgent work tries another worker
+	// preemptionReservationTime is short, so that urgent work tries another worker
 	// if this one does not free its resources at once.
-	preemptionReservation = time.Second
-	starvingReservation   = 10 * time.Minute
+	preemptionReservationTime = time.Second
+	starvingReservationTime   = 10 * time.Minute
 	// minReservedFraction is the fraction of a worker that a starving task must
 	// need to get a reservation.
 	minReservedFraction = 0.25
@@ -100,8 +100,8 @@
 		if !w.accepts(now, d) || !need.Fits(w.Size) {
 			continue
 		}
-		if found, ok := planPreemption(w, d, need); ok && found.cost < best.cost {
-			best = found
+		if plan, ok := planPreemption(w, d, need); ok && plan.cost < best.cost {
+			best = plan
 		}
 	}
 	if best.worker == nil {
@@ -112,21 +112,21 @@
 
 // applyPreemption marks the tasks of the plan as throttled or checkpointing, and
 // reserves the worker for the demand.
-func (p *Placer) applyPreemption(now time.Time, d Demand, chosen preemptionPlan) Decision {
-	decision := Decision{Outcome: Placed, Worker: chosen.worker.Name}
-	for _, victim := range chosen.throttle {
+func (p *Placer) applyPreemption(now time.Time, d Demand, plan preemptionPlan) Decision {
+	decision := Decision{Outcome: Placed, Worker: plan.worker.Name}
+	for _, victim := range plan.throttle {
 		victim.throttled = true
 		p.throttled[victim.demand.Task] = victim
 		victim.need.CPUs *= throttledRate
 		decision.Throttle = append(decision.Throttle, victim.demand.Task)
 	}
-	for _, victim := range chosen.checkpoint {
+	for _, victim := range plan.checkpoint {
 		victim.checkpointing = true
 		decision.Checkpoint = append(decision.Checkpoint, victim.demand.Task)
 		decision.Outcome = Preempts
 	}
-	chosen.worker.recount()
-	p.setReservation(chosen.worker, &reservation{task: d.Task, class: d.Class, until: now.Add(preemptionReservation)})
+	plan.worker.recount()
+	p.setReservation(plan.worker, &reservation{task: d.Task, class: d.Class, until: now.Add(preemptionReservationTime)})
 	return decision
 }
 
@@ -134,15 +134,15 @@
 // throttling; checkpoints free all resources of a task.
 func planPreemption(w *worker, d Demand, need Size) (preemptionPlan, bool) {
 	victims := w.victims(d.Class)
-	if found, ok := planThrottling(w, victims, need); ok {
-		return found, true
+	if plan, ok := planThrottling(w, victims, need); ok {
+		return plan, true
 	}
 	return planCheckpoints(w, victims, need)
 }
 
 // planThrottling plans preemption by throttling, which frees processors only.
 func planThrottling(w *worker, victims []*placedTask, need Size) (preemptionPlan, bool) {
-	found := preemptionPlan{worker: w}
+	plan := preemptionPlan{worker: w}
 	free := w.free()
 	for _, victim := range victims {
 		if need.Fits(free) {
@@ -151,17 +151,17 @@
 		if victim.throttled || victim.checkpointing {
 			continue
 		}
-		found.throttle = append(found.throttle, victim)
-		found.cost++
+		plan.throttle = append(plan.throttle, victim)
+		plan.cost++
 		free.CPUs += victim.need.CPUs * (1 - throttledRate)
 	}
-	return found, need.Fits(free)
+	return plan, need.Fits(free)
 }
 
 // planCheckpoints plans preemption by checkpoints, which stop movable tasks so
 // that they can restart elsewhere.
 func planCheckpoints(w *worker, victims []*placedTask, need Size) (preemptionPlan, bool) {
-	found := preemptionPlan{worker: w}
+	plan := preemptionPlan{worker: w}
 	free := w.free()
 	for _, victim := range victims {
 		if need.Fits(free) {
@@ -170,11 +170,11 @@
 		if !victim.demand.Movable || victim.checkpointing {
 			continue
 		}
-		found.checkpoint = append(found.checkpoint, victim)
-		found.cost += checkpointCost
+		plan.checkpoint = append(plan.checkpoint, victim)
+		plan.cost += checkpointCost
 		free = free.Plus(victim.need)
 	}
-	return found, need.Fits(free)
+	return plan, need.Fits(free)
 }
 
 // victims returns the tasks of lower classes, the lowest class first and the
@@ -211,7 +211,7 @@
 		}
 	}
 	if emptiest != nil {
-		p.setReservation(emptiest, &reservation{task: d.Task, class: d.Class, until: now.Add(starvingReservation)})
+		p.setReservation(emptiest, &reservation{task: d.Task, class: d.Class, until: now.Add(starvingReservationTime)})
 	}
 }
 
@@ -229,20 +229,20 @@
 // Unthrottle returns the throttled tasks for which processors are free again.
 // They count as running at full speed from now on.
 func (p *Placer) Unthrottle(now time.Time) []string {
-	var restored []string
+	var unthrottled []string
 	for _, name := range slices.Sorted(maps.Keys(p.throttled)) {
 		task := p.throttled[name]
-		more := task.need.CPUs * (1/throttledRate - 1)
-		if more > task.worker.free().CPUs || task.worker.reservation.inForce(now) {
+		regained := task.need.CPUs * (1/throttledRate - 1)
+		if regained > task.worker.free().CPUs || task.worker.reservation.inForce(now) {
 			continue
 		}
 		delete(p.throttled, name)
 		task.throttled = false
-		task.need.CPUs += more
+		task.need.CPUs += regained
 		task.worker.recount()
-		restored = append(restored, name)
+		unthrottled = append(unthrottled, name)
 	}
-	return restored
+	return unthrottled
 }
 
 // ExpectedRunTime returns the expected run time of a task of the queue, given its
--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -54,8 +54,8 @@
 
 // hasFailure reports whether a failure of the task counts against the worker.
 func (h *health) hasFailure(task string) bool {
-	_, held := h.unexplained[task]
-	return held
+	_, ok := h.unexplained[task]
+	return ok
 }
 
 // dropFailure removes a failure that is explained. It ends the quarantine if the
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -179,7 +179,7 @@
 	if existing, ok := p.workers[description.Name]; ok {
 		p.updateWorker(existing, description)
 		existing.leaving = false
-		existing.gone = false
+		existing.removing = false
 		return
 	}
 	p.workers[description.Name] = newWorker(description)
@@ -222,13 +222,13 @@
 		return
 	}
 	w.leaving = true
-	w.gone = true
+	w.removing = true
 	p.removeIfEmpty(w)
 }
 
 // removeIfEmpty removes a worker that is to be removed and holds no tasks.
 func (p *Placer) removeIfEmpty(w *worker) {
-	if !w.gone || len(w.tasks) > 0 {
+	if !w.removing || len(w.tasks) > 0 {
 		return
 	}
 	name := w.Name
--- a/internal/place/placement.go
+++ b/internal/place/placement.go
@@ -29,10 +29,10 @@
 // adjustSpread adds n to the count of the queue's tasks in the rack of the task's
 // worker.
 func (p *Placer) adjustSpread(task *placedTask, n int) {
-	where := rackQueue{dataCentre: task.worker.DataCentre, rack: task.worker.Rack, queue: task.demand.Queue}
-	p.spread[where] += n
-	if p.spread[where] == 0 {
-		delete(p.spread, where)
+	key := rackQueue{dataCentre: task.worker.DataCentre, rack: task.worker.Rack, queue: task.demand.Queue}
+	p.spread[key] += n
+	if p.spread[key] == 0 {
+		delete(p.spread, key)
 	}
 }
 
@@ -91,13 +91,13 @@
 
 // attributeFailure attributes a failure to the worker or to the task. A task that
 // fails on a second worker is considered the cause of its failures on both.
-func (p *Placer) attributeFailure(now time.Time, task string, at *worker) {
+func (p *Placer) attributeFailure(now time.Time, task string, failedOn *worker) {
 	earlier := p.failures[task]
-	if !slices.Contains(earlier, at.Name) {
-		p.failures[task] = append(earlier, at.Name)
+	if !slices.Contains(earlier, failedOn.Name) {
+		p.failures[task] = append(earlier, failedOn.Name)
 	}
 	if len(p.failures[task]) == 1 {
-		at.health.recordFailure(now, task, p.mayQuarantine(now))
+		failedOn.health.recordFailure(now, task, p.mayQuarantine(now))
 		return
 	}
 	for _, name := range p.failures[task] {
@@ -109,9 +109,9 @@
 
 // attributeEarlierFailures attributes the earlier failures of a task that has
 // succeeded to the workers on which it failed.
-func (p *Placer) attributeEarlierFailures(now time.Time, task string, at *worker) {
+func (p *Placer) attributeEarlierFailures(now time.Time, task string, succeededOn *worker) {
 	for _, name := range p.failures[task] {
-		if w, ok := p.workers[name]; ok && w != at && !w.health.hasFailure(task) {
+		if w, ok := p.workers[name]; ok && w != succeededOn && !w.health.hasFailure(task) {
 			w.health.recordFailure(now, task, p.mayQuarantine(now))
 		}
 	}
--- a/internal/place/worker.go
+++ b/internal/place/worker.go
@@ -20,7 +20,7 @@
 	health      *health
 	leaving     bool
 	silent      bool
-	gone        bool
+	removing    bool
 	used        Size
 	tasks       map[string]*placedTask
 	reservation *reservation
--- a/internal/pool/benefit.go
+++ b/internal/pool/benefit.go
@@ -74,11 +74,11 @@
 // lendingBenefit returns the value of one more host to the maintenance of a
 // pool, in idle seconds of a host.
 func (s *step) lendingBenefit(pool Observation) float64 {
-	beyond := s.members[pool.Name].count() - s.needs[pool.Name]
-	if pool.Maintaining <= max(0, beyond) || len(s.members[s.planner.config.Spare].serving) == 0 {
+	surplus := s.members[pool.Name].count() - s.needs[pool.Name]
+	if pool.Maintaining <= max(0, surplus) || len(s.members[s.planner.config.Spare].serving) == 0 {
 		return 0
 	}
-	return s.planner.weights.RollOutTime * lendingValue.Seconds() / float64(1+max(0, beyond))
+	return s.planner.weights.RollOutTime * lendingValue.Seconds() / float64(1+max(0, surplus))
 }
 
 func latest(a, b time.Time) time.Time {
--- a/internal/pool/burst.go
+++ b/internal/pool/burst.go
@@ -36,14 +36,17 @@
 
 // burstHistory holds the current and recent bursts of one pool.
 type burstHistory struct {
-	mean       float64
+	meanLoad   float64
 	observedAt time.Time
-	bursting   bool
-	startedAt  time.Time
-	loadSum    float64
-	samples    int
-	levels     []float64
-	lengths    []time.Duration
+	// startedAt, loadSum and samples belong to the current burst.
+	bursting  bool
+	startedAt time.Time
+	loadSum   float64
+	samples   int
+	// levels and lengths are the mean loads, in hosts, and the lengths of past
+	// bursts.
+	levels  []float64
+	lengths []time.Duration
 	// followers are the bursts of other pools that started next.
 	followers []follower
 }
@@ -56,10 +59,10 @@
 
 // observe records a pool's load, in hosts, and detects the start and end of
 // bursts.
-func (r *burstPattern) observe(at time.Time, pool string, load float64) {
-	b, ok := r.byPool[pool]
+func (p *burstPattern) observe(at time.Time, pool string, load float64) {
+	b, ok := p.byPool[pool]
 	if !ok {
-		r.byPool[pool] = &burstHistory{mean: load, observedAt: at}
+		p.byPool[pool] = &burstHistory{meanLoad: load, observedAt: at}
 		return
 	}
 	if b.observedAt.IsZero() {
@@ -71,11 +74,11 @@
 		return
 	}
 	b.observedAt = at
-	b.mean += (load - b.mean) * (1 - math.Exp(-elapsed.Seconds()/meanWindow.Seconds()))
+	b.meanLoad += (load - b.meanLoad) * (1 - math.Exp(-elapsed.Seconds()/meanWindow.Seconds()))
 	switch {
-	case !b.bursting && load > burstFactor*b.mean:
-		r.startBurst(at, pool, b)
-	case b.bursting && load < b.mean:
+	case !b.bursting && load > burstFactor*b.meanLoad:
+		p.startBurst(at, pool, b)
+	case b.bursting && load < b.meanLoad:
 		b.endBurst(at)
 	}
 	if b.bursting {
@@ -84,13 +87,13 @@
 	}
 }
 
-func (r *burstPattern) startBurst(at time.Time, pool string, b *burstHistory) {
+func (p *burstPattern) startBurst(at time.Time, pool string, b *burstHistory) {
 	b.bursting, b.startedAt, b.loadSum, b.samples = true, at, 0, 0
-	if r.lastPool != "" && r.lastPool != pool {
-		before := r.byPool[r.lastPool]
-		before.followers = appendBounded(before.followers, follower{pool: pool, interval: at.Sub(r.lastStart)})
+	if p.lastPool != "" && p.lastPool != pool {
+		previous := p.byPool[p.lastPool]
+		previous.followers = appendBounded(previous.followers, follower{pool: pool, interval: at.Sub(p.lastStart)})
 	}
-	r.lastPool, r.lastStart = pool, at
+	p.lastPool, p.lastStart = pool, at
 }
 
 func (b *burstHistory) endBurst(at time.Time) {
@@ -99,11 +102,11 @@
 	b.lengths = appendBounded(b.lengths, at.Sub(b.startedAt))
 }
 
-// typicalLength returns the median length of past bursts, or unknown if there
-// are none.
-func (b *burstHistory) typicalLength(unknown time.Duration) time.Duration {
+// typicalLength returns the median length of past bursts, or the given default if
+// there are none.
+func (b *burstHistory) typicalLength(defaultLength time.Duration) time.Duration {
 	if len(b.lengths) == 0 {
-		return unknown
+		return defaultLength
 	}
 	return median(b.lengths)
 }
@@ -146,26 +149,27 @@
 }
 
 // forecast predicts the next burst of each pool by following the usual order of
-// bursts from the newest one on. Lag is subtracted from the predicted starts.
-func (r *burstPattern) forecast(now time.Time, lag time.Duration) map[string]Forecast {
+// bursts from the newest one on. The lag of the observed loads is subtracted from
+// the predicted starts.
+func (p *burstPattern) forecast(now time.Time, lag time.Duration) map[string]Forecast {
 	out := make(map[string]Forecast)
-	at, confidence := r.lastStart, 1.0
-	for name := r.lastPool; name != ""; {
-		following, interval, sure := r.byPool[name].nextBurst()
-		if _, known := out[following]; known || following == "" {
+	at, confidence := p.lastStart, 1.0
+	for name := p.lastPool; name != ""; {
+		next, interval, stepConfidence := p.byPool[name].nextBurst()
+		if _, known := out[next]; known || next == "" {
 			return out
 		}
 		at = at.Add(interval)
-		confidence *= sure
+		confidence *= stepConfidence
 		if now.Sub(at) > maxOverdue {
 			return out
 		}
 		begins := at.Add(-lag)
-		out[following] = Forecast{
+		out[next] = Forecast{
 			Begins: begins, Confidence: confidence,
-			Ends: begins.Add(r.byPool[following].typicalLength(interval)),
+			Ends: begins.Add(p.byPool[next].typicalLength(interval)),
 		}
-		name = following
+		name = next
 	}
 	return out
 }
--- a/internal/pool/history.go
+++ b/internal/pool/history.go
@@ -16,6 +16,7 @@
 
 // BurstStats summarises the bursts observed in one pool.
 type BurstStats struct {
+	// MeanLoad and Levels, the mean loads of past bursts, are in hosts.
 	MeanLoad float64         `json:"mean-load"`
 	Levels   []float64       `json:"levels,omitempty"`
 	Lengths  []duration.Text `json:"lengths,omitempty"`
@@ -33,37 +34,37 @@
 
 // History returns the bursts that the planner has observed so far.
 func (p *Planner) History() History {
-	m := History{Pools: make(map[string]BurstStats)}
+	history := History{Pools: make(map[string]BurstStats)}
 	for name, b := range p.burstPattern.byPool {
-		pm := BurstStats{MeanLoad: b.mean, Levels: slices.Clone(b.levels)}
+		stats := BurstStats{MeanLoad: b.meanLoad, Levels: slices.Clone(b.levels)}
 		for _, length := range b.lengths {
-			pm.Lengths = append(pm.Lengths, duration.New(length))
+			stats.Lengths = append(stats.Lengths, duration.New(length))
 		}
 		for _, f := range b.followers {
-			pm.Followers = append(pm.Followers, Follower{Pool: f.pool, Interval: duration.New(f.interval)})
+			stats.Followers = append(stats.Followers, Follower{Pool: f.pool, Interval: duration.New(f.interval)})
 		}
-		m.Pools[name] = pm
+		history.Pools[name] = stats
 	}
-	return m
+	return history
 }
 
 // restore loads the history of an earlier planner. Followers in unknown pools
 // are skipped, and invalid loads and lengths count as 0.
-func (r *burstPattern) restore(m History) {
-	for name, pm := range m.Pools {
-		b := &burstHistory{mean: sanitiseLoad(pm.MeanLoad)}
-		for _, level := range pm.Levels {
+func (p *burstPattern) restore(history History) {
+	for name, stats := range history.Pools {
+		b := &burstHistory{meanLoad: sanitiseLoad(stats.MeanLoad)}
+		for _, level := range stats.Levels {
 			b.levels = appendBounded(b.levels, sanitiseLoad(level))
 		}
-		for _, length := range pm.Lengths {
+		for _, length := range stats.Lengths {
 			b.lengths = appendBounded(b.lengths, max(0, length.Duration))
 		}
-		for _, f := range pm.Followers {
-			if _, known := m.Pools[f.Pool]; known {
+		for _, f := range stats.Followers {
+			if _, known := history.Pools[f.Pool]; known {
 				b.followers = appendBounded(b.followers, follower{pool: f.Pool, interval: max(0, f.Interval.Duration)})
 			}
 		}
-		r.byPool[name] = b
+		p.byPool[name] = b
 	}
 }
 
--- a/internal/pool/observation.go
+++ b/internal/pool/observation.go
@@ -80,10 +80,10 @@
 
 // survivingRackLoss returns the number of serving hosts, other than the excluded
 // one, that remain after the loss of the largest rack.
-func (m *members) survivingRackLoss(without string) int {
+func (m *members) survivingRackLoss(excluded string) int {
 	racks, serving, largest := make(map[string]int), 0, 0
 	for _, h := range m.serving {
-		if h.Name == without {
+		if h.Name == excluded {
 			continue
 		}
 		serving++
--- a/internal/pool/simulation_test.go
+++ b/internal/pool/simulation_test.go
@@ -72,7 +72,7 @@
 }
 
 func newSimulation(seed uint64, safeguards safeguards) *simulation {
-	w := &simulation{
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), safeguards: safeguards, now: time.Unix(1000, 0),
 		store: table.NewMemory(), work: make(map[int]work), counts: make(map[string]int),
 	}
@@ -80,36 +80,36 @@
 	if err != nil {
 		panic(err)
 	}
-	w.commit(table.Txn{Writes: []table.Write{{Key: pool.Key(hostName), Value: first}, {Key: rosterRow}}})
+	s.commit(table.Txn{Writes: []table.Write{{Key: pool.Key(hostName), Value: first}, {Key: rosterRow}}})
 	for range 3 {
-		w.addEntry()
+		s.addEntry()
 	}
 	for range 2 {
-		w.managers = append(w.managers, &manager{drains: pool.NewDrainTracker()})
+		s.managers = append(s.managers, &manager{drains: pool.NewDrainTracker()})
 	}
-	return w
+	return s
 }
 
-func (w *simulation) commit(txn table.Txn) bool {
-	w.store.SetFaults(table.Faults{LoseAnswers: w.random.IntN(10) == 0})
-	defer w.store.SetFaults(table.Faults{})
-	err := w.store.Commit(context.Background(), txn)
+func (s *simulation) commit(txn table.Txn) bool {
+	s.store.SetFaults(table.Faults{LoseAnswers: s.random.IntN(10) == 0})
+	defer s.store.SetFaults(table.Faults{})
+	err := s.store.Commit(context.Background(), txn)
 	if table.IsUnknown(err) {
-		w.counts["lost answers"]++
+		s.counts["lost answers"]++
 	}
 	return err == nil
 }
 
-func (w *simulation) read(key string) table.Row {
-	rows, err := w.store.Get(context.Background(), key)
+func (s *simulation) read(key string) table.Row {
+	rows, err := s.store.Get(context.Background(), key)
 	if err != nil {
 		panic(err)
 	}
 	return rows[0]
 }
 
-func (w *simulation) assignment() pool.Assignment {
-	a, err := pool.Decode(w.read(pool.Key(hostName)))
+func (s *simulation) assignment() pool.Assignment {
+	a, err := pool.Decode(s.read(pool.Key(hostName)))
 	if err != nil {
 		panic(err)
 	}
@@ -117,56 +117,56 @@
 }
 
 // addEntry adds an entry, which joins the roster before it reads the row.
-func (w *simulation) addEntry() {
-	w.incarnations++
-	e := &sender{id: pool.Sender{Name: "entry", Incarnation: w.incarnations}}
-	w.members = append(w.members, e.id)
-	w.commit(table.Txn{Writes: []table.Write{{Key: rosterRow}}})
-	e.view = w.assignment()
-	w.entries = append(w.entries, e)
+func (s *simulation) addEntry() {
+	s.incarnations++
+	e := &sender{id: pool.Sender{Name: "entry", Incarnation: s.incarnations}}
+	s.members = append(s.members, e.id)
+	s.commit(table.Txn{Writes: []table.Write{{Key: rosterRow}}})
+	e.view = s.assignment()
+	s.entries = append(s.entries, e)
 }
 
 // crashEntry removes a random entry from the roster; its work continues to run.
-func (w *simulation) crashEntry() {
-	i := w.random.IntN(len(w.entries))
-	e := w.entries[i]
-	w.entries = slices.Delete(w.entries, i, i+1)
-	w.members = slices.DeleteFunc(slices.Clone(w.members), func(s pool.Sender) bool { return s == e.id })
-	w.gone = append(slices.Clone(w.gone), e.id)
-	w.commit(table.Txn{Writes: []table.Write{{Key: rosterRow}}})
-	w.counts["crashes"]++
+func (s *simulation) crashEntry() {
+	i := s.random.IntN(len(s.entries))
+	e := s.entries[i]
+	s.entries = slices.Delete(s.entries, i, i+1)
+	s.members = slices.DeleteFunc(slices.Clone(s.members), func(member pool.Sender) bool { return member == e.id })
+	s.gone = append(slices.Clone(s.gone), e.id)
+	s.commit(table.Txn{Writes: []table.Write{{Key: rosterRow}}})
+	s.counts["crashes"]++
 }
 
 // send starts work if the entry's view of the assignment allows it.
-func (w *simulation) send(e *sender) {
-	if e.view.Phase != pool.Serving || len(w.work) > 20 {
+func (s *simulation) send(e *sender) {
+	if e.view.Phase != pool.Serving || len(s.work) > 20 {
 		return
 	}
-	w.workID++
+	s.workID++
 	e.inFlight++
-	w.work[w.workID] = work{pool: e.view.Pool, sentBy: e, ends: w.now.Add(w.duration(longestRun))}
-	w.counts["sent"]++
+	s.work[s.workID] = work{pool: e.view.Pool, sentBy: e, ends: s.now.Add(s.duration(longestRun))}
+	s.counts["sent"]++
 }
 
 // refreshView updates the entry's view and queues confirmations, which may be
 // lost, repeated or delivered late.
-func (w *simulation) refreshView(e *sender) {
-	e.view = w.assignment()
+func (s *simulation) refreshView(e *sender) {
+	e.view = s.assignment()
 	confirmation := pool.Confirmation{Epoch: e.view.Epoch, InFlight: e.inFlight}
-	for _, m := range w.managers {
-		for range w.random.IntN(3) {
-			w.messages = append(w.messages, func() { m.drains.Confirm(hostName, e.id, confirmation) })
+	for _, m := range s.managers {
+		for range s.random.IntN(3) {
+			s.messages = append(s.messages, func() { m.drains.Confirm(hostName, e.id, confirmation) })
 		}
 	}
 }
 
 // stepManager lets a manager read the rows, or act on those that it read last.
-func (w *simulation) stepManager(m *manager) {
-	if m.row.Version == table.Absent || w.random.IntN(3) == 0 {
-		m.row = w.read(pool.Key(hostName))
+func (s *simulation) stepManager(m *manager) {
+	if m.row.Version == table.Absent || s.random.IntN(3) == 0 {
+		m.row = s.read(pool.Key(hostName))
 		// The roster is polled separately and can be older than the row.
-		if m.roster.Version == table.Absent || w.random.IntN(15) == 0 {
-			m.roster, m.members, m.gone = w.read(rosterRow), w.members, w.gone
+		if m.roster.Version == table.Absent || s.random.IntN(15) == 0 {
+			m.roster, m.members, m.gone = s.read(rosterRow), s.members, s.gone
 		}
 		return
 	}
@@ -177,21 +177,21 @@
 	next := current
 	switch current.Phase {
 	case pool.Serving:
-		if w.random.IntN(6) > 0 {
+		if s.random.IntN(6) > 0 {
 			return
 		}
 		target := map[string]string{"a": "b", "b": "a"}[current.Pool]
 		next, err = pool.Drain(current, pool.Move, target)
 	case pool.Draining:
-		if w.random.IntN(30) == 0 {
+		if s.random.IntN(30) == 0 {
 			next, err = pool.Return(current)
 			break
 		}
-		if !w.isDrained(m, current) {
+		if !s.isDrained(m, current) {
 			return
 		}
 		next, err = pool.CompleteDrain(current)
-		w.counts["moves"]++
+		s.counts["moves"]++
 	}
 	if err != nil {
 		panic(err)
@@ -200,13 +200,13 @@
 	if err != nil {
 		panic(err)
 	}
-	if w.safeguards.rosterVersion {
+	if s.safeguards.rosterVersion {
 		txn.Conditions = append(txn.Conditions, table.Condition{Key: rosterRow, Version: m.roster.Version})
 	}
-	if !w.safeguards.rowVersion {
+	if !s.safeguards.rowVersion {
 		txn.Conditions = txn.Conditions[1:]
 	}
-	if w.commit(txn) {
+	if s.commit(txn) {
 		m.drains.Forget(hostName)
 	} else {
 		m.roster = table.Row{}
@@ -214,84 +214,84 @@
 	m.row = table.Row{}
 }
 
-func (w *simulation) isDrained(m *manager, current pool.Assignment) bool {
-	if !w.safeguards.confirmations {
+func (s *simulation) isDrained(m *manager, current pool.Assignment) bool {
+	if !s.safeguards.confirmations {
 		return true
 	}
 	wait := longestRun
-	if !w.safeguards.longestRun {
+	if !s.safeguards.longestRun {
 		wait = 0
 	}
-	return m.drains.IsDrained(w.now, current, m.members, m.gone, wait)
+	return m.drains.IsDrained(s.now, current, m.members, m.gone, wait)
 }
 
-func (w *simulation) duration(limit time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(limit)))
+func (s *simulation) duration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
 // step performs one random action and checks the invariant.
-func (w *simulation) step() {
-	w.now = w.now.Add(w.duration(200 * time.Millisecond))
-	for id, work := range w.work {
-		if !work.ends.After(w.now) {
+func (s *simulation) step() {
+	s.now = s.now.Add(s.duration(200 * time.Millisecond))
+	for id, work := range s.work {
+		if !work.ends.After(s.now) {
 			work.sentBy.inFlight--
-			delete(w.work, id)
+			delete(s.work, id)
 		}
 	}
-	e := w.entries[w.random.IntN(len(w.entries))]
-	switch w.random.IntN(12) {
+	e := s.entries[s.random.IntN(len(s.entries))]
+	switch s.random.IntN(12) {
 	case 0, 1, 2:
 		if !e.paused {
-			w.send(e)
+			s.send(e)
 		}
 	case 3, 4, 5:
-		for _, e := range w.entries {
+		for _, e := range s.entries {
 			if !e.paused {
-				w.refreshView(e)
+				s.refreshView(e)
 			}
 		}
 	case 6:
-		e.paused = !e.paused && w.random.IntN(3) == 0
-		w.counts["pauses"]++
+		e.paused = !e.paused && s.random.IntN(3) == 0
+		s.counts["pauses"]++
 	case 7:
-		for range min(len(w.messages), 4) {
+		for range min(len(s.messages), 4) {
 			// Deliver recent messages, some of them repeatedly.
-			recent := min(len(w.messages), 20)
-			w.messages[len(w.messages)-1-w.random.IntN(recent)]()
+			recent := min(len(s.messages), 20)
+			s.messages[len(s.messages)-1-s.random.IntN(recent)]()
 		}
 	case 8:
-		switch w.random.IntN(12) {
+		switch s.random.IntN(12) {
 		case 0, 1:
-			if len(w.entries) < 5 {
-				w.addEntry()
+			if len(s.entries) < 5 {
+				s.addEntry()
 			}
 		case 2:
-			if len(w.entries) > 2 {
-				w.crashEntry()
+			if len(s.entries) > 2 {
+				s.crashEntry()
 			}
 		}
 	default:
-		w.stepManager(w.managers[w.random.IntN(len(w.managers))])
+		s.stepManager(s.managers[s.random.IntN(len(s.managers))])
 	}
-	w.checkOwnership()
+	s.checkOwnership()
 }
 
 // checkOwnership records a violation if work of a pool other than the row's runs
 // on the host.
-func (w *simulation) checkOwnership() {
-	owner := w.assignment().Pool
-	for _, work := range w.work {
+func (s *simulation) checkOwnership() {
+	owner := s.assignment().Pool
+	for _, work := range s.work {
 		if work.pool != owner {
-			w.violation = "work of pool " + work.pool + " runs on a host of pool " + owner
+			s.violation = "work of pool " + work.pool + " runs on a host of pool " + owner
 		}
 	}
 }
 
-func (w *simulation) run() string {
+func (s *simulation) run() string {
 	for range steps {
-		w.step()
-		if w.violation != "" {
-			return w.violation
+		s.step()
+		if s.violation != "" {
+			return s.violation
 		}
 	}
 	return ""
@@ -302,11 +302,11 @@
 func TestHostServesOnePool(t *testing.T) {
 	counts := make(map[string]int)
 	for seed := range uint64(runs) {
-		w := newSimulation(seed, allSafeguards)
-		if got := w.run(); got != "" {
+		s := newSimulation(seed, allSafeguards)
+		if got := s.run(); got != "" {
 			t.Fatalf("seed %d: got %s, want none", seed, got)
 		}
-		for name, n := range w.counts {
+		for name, n := range s.counts {
 			counts[name] += n
 		}
 	}
--- a/internal/pool/step.go
+++ b/internal/pool/step.go
@@ -18,7 +18,8 @@
 	plan      Plan
 }
 
-// record records a pool's load, unless it is stale, and its need.
+// record updates the planner with the observation of a pool: the burst pattern,
+// unless the loads are stale, and the recent needs.
 func (s *step) record(pool Observation) {
 	if s.needs == nil {
 		s.needs = make(map[string]int)
@@ -51,11 +52,11 @@
 // fillByValue starts moves in order of decreasing value, as long as the value
 // exceeds the cost of a move.
 func (s *step) fillByValue() {
-	closed := make(map[string]bool)
+	withoutDonor := make(map[string]bool)
 	for {
 		best, bestValue, bestReason := "", s.planner.moveValue(), Reason("")
 		for _, pool := range s.view.Pools {
-			if closed[pool.Name] {
+			if withoutDonor[pool.Name] {
 				continue
 			}
 			if value, reason := s.value(pool); value > bestValue {
@@ -66,7 +67,7 @@
 			return
 		}
 		if !s.startMove(best, bestReason) {
-			closed[best] = true
+			withoutDonor[best] = true
 		}
 	}
 }
@@ -118,8 +119,8 @@
 	if b := s.planner.burstPattern.byPool[pool.Name]; b != nil && b.bursting {
 		return false
 	}
-	sure := s.forecasts[pool.Name].Confidence >= minConfidence
-	return !sure || s.nextBurst(pool.Name).Sub(s.now) > 2*s.view.MoveTime
+	confident := s.forecasts[pool.Name].Confidence >= minConfidence
+	return !confident || s.nextBurst(pool.Name).Sub(s.now) > 2*s.view.MoveTime
 }
 
 // nextBurst returns the expected start of a pool's next burst, or a time far in
--- a/internal/share/divide.go
+++ b/internal/share/divide.go
@@ -109,8 +109,8 @@
 		maxMin(remaining, weights[first:last], d.total[first:last], d.fair[first:last])
 		d.correctWeights(first, last, weights, rows)
 		maxMin(remaining, d.weight[first:last], d.total[first:last], d.alloc[first:last])
-		for _, part := range d.alloc[first:last] {
-			remaining -= part
+		for _, allocation := range d.alloc[first:last] {
+			remaining -= allocation
 		}
 		remaining = max(0, remaining)
 		first = last
--- a/internal/share/flow.go
+++ b/internal/share/flow.go
@@ -59,10 +59,10 @@
 
 // updateLag updates the lag with the time since the last division.
 func (f *flow) updateLag(elapsed float64) {
-	fade := lagTimeConstant.Seconds()
-	f.lag = f.lag*math.Exp(-elapsed/fade) + f.fair*elapsed - f.used
+	timeConstant := lagTimeConstant.Seconds()
+	f.lag = f.lag*math.Exp(-elapsed/timeConstant) + f.fair*elapsed - f.used
 	// Limit the lag after a pause of the process, which makes elapsed large.
-	limit := fade * max(1, f.fair)
+	limit := timeConstant * max(1, f.fair)
 	f.lag = min(max(f.lag, -limit), limit)
 	f.used = 0
 }
