--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -104,11 +104,11 @@
 	}
 	later := start.Add(time.Minute)
 	if got := placer.Unthrottle(later); len(got) != 0 {
-		t.Errorf("restored while urgent work runs: got %v, want none", got)
+		t.Errorf("unthrottled while urgent work runs: got %v, want none", got)
 	}
 	placer.Release(later, "urgent", place.Succeeded)
 	if got, want := placer.Unthrottle(later), []string{"slow"}; !slices.Equal(got, want) {
-		t.Errorf("restored: got %v, want %v", got, want)
+		t.Errorf("unthrottled: got %v, want %v", got, want)
 	}
 }
 
@@ -170,7 +170,7 @@
 				placer.Release(now, d.Task, place.Succeeded)
 			}
 			if got := placer.Need(demand("next", place.Normal, 1, 8)).Memory; !tc.want(got) {
-				t.Errorf("need: got %d GiB, want the learned size", got/gib)
+				t.Errorf("need: got %d GiB, want the corrected size", got/gib)
 			}
 		})
 	}
@@ -188,7 +188,7 @@
 	return worker < fmt.Sprintf("worker-%d", c.bad)
 }
 
-// run tries the task on up to three workers. A poison task fails on each of them. A poison task fails on each of them.
+// run tries the task on up to three workers. A poison task fails on each of them.
 func (c *faultyPool) run(t *rapid.T, d place.Demand, poison bool) {
 	for range 3 {
 		c.now = c.now.Add(time.Second)
