--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -65,7 +65,7 @@
 		"urgent throttles":       {workers: 1, held: []place.Demand{demand("b", place.Batch, 16, 1)}, demand: demand("a", place.Urgent, 10, 1), want: place.Placed, wantThrottle: 1},
 		"urgent checkpoints":     {workers: 1, held: []place.Demand{demand("b", place.Normal, 1, 60)}, demand: demand("a", place.Urgent, 1, 10), want: place.Preempts, wantCheckpoint: 1},
 		"throttling falls short": {workers: 1, held: []place.Demand{demand("b", place.Batch, 16, 1)}, demand: demand("a", place.Urgent, 16, 1), want: place.Preempts, wantCheckpoint: 1},
-		"urgent against peers":   {workers: 1, held: []place.Demand{demand("b", place.Urgent, 16, 1)}, demand: demand("a", place.Urgent, 10, 1), want: place.Waits},
+		"urgent against urgent":  {workers: 1, held: []place.Demand{demand("b", place.Urgent, 16, 1)}, demand: demand("a", place.Urgent, 10, 1), want: place.Waits},
 		"batch first": {
 			workers: 1, held: []place.Demand{demand("b", place.Normal, 8, 1), demand("c", place.Batch, 8, 1)},
 			demand: demand("a", place.Urgent, 6, 1), want: place.Placed, wantThrottle: 1,
--- a/internal/pool/planner_test.go
+++ b/internal/pool/planner_test.go
@@ -196,9 +196,9 @@
 // TestPlannerHysteresis checks that fluctuating load causes few moves.
 func TestPlannerHysteresis(t *testing.T) {
 	tests := map[string]func(step int) float64{
-		"noise":             func(step int) float64 { return 5 + float64(step*7%5)/2 },
-		"short dips":        func(step int) float64 { return []float64{6, 6, 6, 0.2}[step%4] },
-		"around the number": func(step int) float64 { return 8*pool.DefaultUtilisation + float64(step%2)/5 - 0.1 },
+		"noise":              func(step int) float64 { return 5 + float64(step*7%5)/2 },
+		"short dips":         func(step int) float64 { return []float64{6, 6, 6, 0.2}[step%4] },
+		"around a threshold": func(step int) float64 { return 8*pool.DefaultUtilisation + float64(step%2)/5 - 0.1 },
 	}
 	for name, load := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -167,22 +167,22 @@
 // the wave, and that a larger weight of roll-out time allows more canaries.
 func TestCanaries(t *testing.T) {
 	tests := map[string]struct {
-		elsewhere wave.Results
-		weight    float64
-		want      int
-		verdict   wave.Verdict
+		otherPools wave.Results
+		weight     float64
+		want       int
+		verdict    wave.Verdict
 	}{
-		"nothing known":           {want: 2, verdict: wave.Proceed},
-		"roll-out time weighs":    {weight: 1.6, want: 4, verdict: wave.Proceed},
-		"roll-out weighs little":  {weight: 0.4, want: 2, verdict: wave.Proceed},
-		"proven elsewhere":        {elsewhere: wave.Results{Done: 2}, want: 6, verdict: wave.Proceed},
-		"one proven elsewhere":    {elsewhere: wave.Results{Done: 1}, want: 2, verdict: wave.Proceed},
-		"canaries fail elsewhere": {elsewhere: wave.Results{Failed: 2}, want: 0, verdict: wave.Hold},
+		"no results":                      {want: 2, verdict: wave.Proceed},
+		"high weight of roll-out time":    {weight: 1.6, want: 4, verdict: wave.Proceed},
+		"low weight of roll-out time":     {weight: 0.4, want: 2, verdict: wave.Proceed},
+		"enough successes in other pools": {otherPools: wave.Results{Done: 2}, want: 6, verdict: wave.Proceed},
+		"one success in another pool":     {otherPools: wave.Results{Done: 1}, want: 2, verdict: wave.Proceed},
+		"failures in other pools":         {otherPools: wave.Results{Failed: 2}, want: 0, verdict: wave.Hold},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := wave.New(wave.Config{RollOutTime: tc.weight})
-			got := w.Step(start, wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1, OtherPools: tc.elsewhere})
+			got := w.Step(start, wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1, OtherPools: tc.otherPools})
 			if got.Verdict != tc.verdict || len(got.Start) != tc.want {
 				t.Errorf("got %+v, want %s of %d hosts", got, tc.verdict, tc.want)
 			}
