--- a/internal/limit/planner.go
+++ b/internal/limit/planner.go
@@ -11,7 +11,7 @@
 // View is what a manager has read about one team.
 type View struct {
 	// Row is the team's row; without one, only Row.Team is set.
-	Row Grant
+	Row Allocation
 	// Limit is the limit that the catalogue asks for.
 	Limit int
 	// LongestRun bounds how long work goes on after its member has ended.
@@ -26,9 +26,9 @@
 
 // Decision is what a manager should do for one team now.
 type Decision struct {
-	Verdict Verdict
+	Action Action
 	// Next is the row to commit, on condition of the version of View.Row.
-	Next Grant
+	Next Allocation
 	// Freezes are to be sent; the answers go to Handle.
 	Freezes []FreezeRequest
 }
@@ -57,7 +57,7 @@
 }
 
 // Handle takes over a report, asked for or not, late or repeated.
-func (p *Planner) Handle(report Report) {
+func (p *Planner) HandleReport(report Report) {
 	plan := p.team(report.Team)
 	known, ok := plan.reports[report.Member]
 	if ok && known.Generation > report.Generation {
@@ -87,10 +87,10 @@
 		plan.generation = view.Row.Generation
 		plan.since = now
 	}
-	in.AwaitSilent = now.Before(plan.since.Add(p.config.ReportTimeout))
+	in.AwaitReports = now.Before(plan.since.Add(p.config.ReportTimeout))
 	outcome := Plan(in)
-	decision := Decision{Verdict: outcome.Verdict, Next: outcome.Next}
-	if outcome.Verdict == Wait {
+	decision := Decision{Action: outcome.Action, Next: outcome.Next}
+	if outcome.Action == Wait {
 		decision.Freezes = append(outcome.Trims, missing(in)...)
 	}
 	return decision
@@ -101,7 +101,7 @@
 func (p *Planner) extend(in PlanInput) Decision {
 	p.teams[in.Row.Team].since = time.Time{}
 	outcome := Extend(in)
-	decision := Decision{Verdict: outcome.Verdict, Next: outcome.Next}
+	decision := Decision{Action: outcome.Action, Next: outcome.Next}
 	if len(in.Row.Carried) == 0 {
 		return decision
 	}
--- a/internal/limit/world_test.go
+++ b/internal/limit/world_test.go
@@ -70,7 +70,7 @@
 	ended    []limit.Member
 	died     map[limit.Member]time.Time
 	running  []*work
-	rows     []limit.Grant
+	rows     []limit.Allocation
 	inFlight []func()
 	counts   map[string]int
 	serial   int
@@ -140,12 +140,12 @@
 }
 
 // row reads the table, and false during an outage.
-func (w *world) row() (limit.Grant, table.Row, bool) {
+func (w *world) row() (limit.Allocation, table.Row, bool) {
 	rows, err := w.store.Get(context.Background(), limit.Key(team))
 	if err != nil {
-		return limit.Grant{}, table.Row{}, false
+		return limit.Allocation{}, table.Row{}, false
 	}
-	grant := limit.Grant{Team: team}
+	grant := limit.Allocation{Team: team}
 	if rows[0].Version != table.Absent {
 		if err := json.Unmarshal(rows[0].Value, &grant); err != nil {
 			panic(err)
@@ -160,7 +160,7 @@
 	}
 }
 
-func (w *world) adopt(p *process, row limit.Grant) {
+func (w *world) adopt(p *process, row limit.Allocation) {
 	if carry, ok := row.Carried[p.self]; ok && w.rules.adoptWhileCarried {
 		row.Granted = maps.Clone(row.Granted)
 		row.Granted[p.self] = max(0, carry.Bound)
@@ -169,7 +169,7 @@
 	if row.Generation > p.ledger.Status(team).Generation {
 		p.extra = 0
 	}
-	p.ledger.Adopt(row)
+	p.ledger.Apply(row)
 }
 
 func (w *world) start(p *process) {
@@ -207,7 +207,7 @@
 	w.running = slices.Delete(w.running, i, i+1)
 	if done.lingering {
 		if w.intn(2) == 0 && !done.owner.dead {
-			done.owner.ledger.Settle(team, done.started.Add(longestRun))
+			done.owner.ledger.ReleaseLingering(team, done.started.Add(longestRun))
 		}
 		return
 	}
@@ -254,10 +254,10 @@
 			peers[peer.self] = peer.ledger.Status(team)
 		}
 	}
-	for _, ask := range p.ledger.Wanted(team, peers) {
+	for _, ask := range p.ledger.TransferRequests(team, peers) {
 		w.toMember(ask.To, func(giver *process) { w.give(giver, ask) })
 	}
-	for _, transfer := range p.ledger.Resend() {
+	for _, transfer := range p.ledger.Unconfirmed() {
 		w.toMember(transfer.To, func(to *process) { w.receive(to, transfer) })
 	}
 	for _, report := range p.ledger.Reports() {
@@ -265,7 +265,7 @@
 			break
 		}
 		m := w.managers[w.intn(len(w.managers))]
-		w.send(nil, func() { m.planner.Handle(report) })
+		w.send(nil, func() { m.planner.HandleReport(report) })
 	}
 }
 
@@ -277,8 +277,8 @@
 	}
 }
 
-func (w *world) give(giver *process, ask limit.Ask) {
-	transfer, ok := giver.ledger.Give(ask)
+func (w *world) give(giver *process, ask limit.TransferRequest) {
+	transfer, ok := giver.ledger.HandleTransferRequest(ask)
 	if !ok {
 		return
 	}
--- a/internal/manager/configuration.go
+++ b/internal/manager/configuration.go
@@ -24,12 +24,12 @@
 )
 
 // newAuthor returns the author of this manager's commits.
-func (m *Manager) newAuthor() *revision.Author {
-	return revision.NewAuthor(revision.AuthorConfig{
-		Store:  m.node.Store(),
-		Holder: m.node.Configuration(),
-		Ready:  m.admitted,
-		Guard:  m.guard,
+func (m *Manager) newAuthor() *revision.Committer {
+	return revision.NewCommitter(revision.CommitterConfig{
+		Store:   m.node.Store(),
+		Replica: m.node.Configuration(),
+		Ready:   m.admitted,
+		Guard:   m.guard,
 	})
 }
 
@@ -67,7 +67,7 @@
 			return
 		case <-time.After(settleInterval):
 		}
-		if err := m.author.Settle(ctx); err != nil && ctx.Err() == nil {
+		if err := m.author.Resolve(ctx); err != nil && ctx.Err() == nil {
 			m.config.Log.Debug("lost commits not settled", "reason", err.Error())
 		}
 	}
@@ -90,7 +90,7 @@
 			pushes.Go(func() {
 				reply, err := m.node.Dial(member).Push(ctx, message)
 				if err == nil {
-					m.node.NoteInForce(member.Identity, reply.GetRevision())
+					m.node.RecordInForce(member.Identity, reply.GetRevision())
 				}
 			})
 		}
@@ -129,9 +129,9 @@
 		m.joiner = revision.NewJoiner(m.others(members))
 	}
 	for _, id := range m.node.Answered() {
-		m.joiner.Admitted(revision.Member(id))
+		m.joiner.Acknowledge(revision.Member(id))
 	}
-	m.joiner.Roster(m.others(members))
+	m.joiner.ApplyRoster(m.others(members))
 	return m.joiner.Ready()
 }
 
--- a/internal/manager/hosts.go
+++ b/internal/manager/hosts.go
@@ -208,7 +208,7 @@
 }
 
 // Busy implements node.Part.
-func (m *Manager) Busy() bool { return m.shards.busy() }
+func (m *Manager) IsUrgent() bool { return m.shards.busy() }
 
 // Hosts returns the platform's hosts with their assignments.
 func (m *Manager) Hosts(ctx context.Context) ([]api.Host, error) {
--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -27,7 +27,7 @@
 		case <-ctx.Done():
 			return
 		case report := <-m.reports:
-			planner.Handle(report)
+			planner.HandleReport(report)
 			continue
 		case <-m.wake:
 		case <-ticker.C:
@@ -63,10 +63,10 @@
 
 // divideTeam steps the planner for one team and carries out its decision.
 func (m *Manager) divideTeam(ctx context.Context, planner *limit.Planner, c catalogue.Catalogue, team catalogue.Team, row table.Row) error {
-	grant := limit.Grant{Team: team.Name}
+	grant := limit.Allocation{Team: team.Name}
 	if row.Version != table.Absent {
 		var err error
-		if grant, err = limit.ParseGrant(row.Value); err != nil {
+		if grant, err = limit.ParseAllocation(row.Value); err != nil {
 			return errors.Wrapf(err, "decode row %q", row.Key)
 		}
 	}
@@ -78,14 +78,14 @@
 	for _, freeze := range decision.Freezes {
 		m.freeze(ctx, planner, freeze)
 	}
-	if decision.Verdict != limit.Commit {
+	if decision.Action != limit.Commit {
 		return nil
 	}
 	return m.commitGrant(ctx, decision.Next, row)
 }
 
 // commitGrant writes a team's row on condition of the version that was read.
-func (m *Manager) commitGrant(ctx context.Context, next limit.Grant, row table.Row) error {
+func (m *Manager) commitGrant(ctx context.Context, next limit.Allocation, row table.Row) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "encode limit row")
@@ -106,7 +106,7 @@
 func (m *Manager) freeze(ctx context.Context, planner *limit.Planner, request limit.FreezeRequest) {
 	if request.To == m.node.Member() {
 		if report, ok := m.node.Ledger().Freeze(request); ok {
-			planner.Handle(report)
+			planner.HandleReport(report)
 		}
 		return
 	}
@@ -123,7 +123,7 @@
 	defer cancel()
 	reply, err := m.node.Dial(member).Freeze(ctx, message)
 	if err == nil && reply.GetReport() != nil {
-		planner.Handle(peer.Report(reply.GetReport()))
+		planner.HandleReport(peer.Report(reply.GetReport()))
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // ended returns the row's members that the roster has dropped, which it does
 // on evidence only.
-func ended(grant limit.Grant, members roster.Roster) []limit.Member {
+func ended(grant limit.Allocation, members roster.Roster) []limit.Member {
 	present := make(map[limit.Member]bool)
 	for _, member := range members.Members {
 		present[limit.Member(member.Identity.String())] = true
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -77,7 +77,7 @@
 	// assignments are the hosts' rows as last read.
 	assignments atomic.Pointer[map[string]pool.Assignment]
 
-	author *revision.Author
+	author *revision.Committer
 	shards *shards
 	// pushes tracks what goes on after an operator was answered.
 	pushes sync.WaitGroup
@@ -119,10 +119,10 @@
 }
 
 // Fill implements node.Part.
-func (m *Manager) Fill(*peerpb.State) {}
+func (m *Manager) FillState(*peerpb.State) {}
 
 // Absorb implements node.Part: it takes reports on permits and words on hosts.
-func (m *Manager) Absorb(from roster.Identity, state *peerpb.State) {
+func (m *Manager) ApplyState(from roster.Identity, state *peerpb.State) {
 	m.takeWords(from, state.GetHosts())
 	for _, report := range state.GetReports() {
 		m.takeReport(peer.Report(report))
--- a/internal/manager/shards.go
+++ b/internal/manager/shards.go
@@ -138,13 +138,13 @@
 func (s *shards) balance(c catalogue.Catalogue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	byTeam := make(map[string][]task.LaneState)
+	byTeam := make(map[string][]task.TeamQueueState)
 	for _, current := range s.byPool {
-		for _, lane := range current.runner.Dump().Lanes {
+		for _, lane := range current.runner.Dump().TeamQueues {
 			byTeam[lane.Team] = append(byTeam[lane.Team], lane)
 		}
 	}
-	limits := make(map[task.LaneKey]task.Limit)
+	limits := make(map[task.TeamQueue]task.Limit)
 	release := make(map[string]int)
 	for _, team := range teamsOf(byTeam, s.reserved) {
 		lanes := byTeam[team]
@@ -168,12 +168,12 @@
 func (s *shards) reserve(team string, wanted int) (excess int) {
 	ledger := s.manager.node.Ledger()
 	if missing := wanted - s.reserved[team]; missing > 0 {
-		ledger.Expect(team, missing)
+		ledger.RecordWaiting(team, missing)
 	}
 	for s.reserved[team] < wanted {
 		status := ledger.Status(team)
-		if status.Held || status.InUse >= status.Holding || !ledger.Acquire(team) {
-			s.manager.node.Short(team)
+		if status.Draining || status.InUse >= status.Holding || !ledger.Acquire(team) {
+			s.manager.node.RequestPermits(team)
 			break
 		}
 		s.reserved[team]++
@@ -204,7 +204,7 @@
 }
 
 // wantedBy returns the permits that the lanes could use.
-func wantedBy(lanes []task.LaneState) int {
+func wantedBy(lanes []task.TeamQueueState) int {
 	wanted := 0
 	for _, lane := range lanes {
 		wanted += lane.Waiting
@@ -214,10 +214,10 @@
 
 // runningIn returns the tasks that are placed or running. A lane stands in the
 // dump once for each class, each time with all that it runs.
-func runningIn(lanes []task.LaneState) int {
-	running := make(map[task.LaneKey]int)
+func runningIn(lanes []task.TeamQueueState) int {
+	running := make(map[task.TeamQueue]int)
 	for _, lane := range lanes {
-		running[lane.LaneKey] = lane.Running
+		running[lane.TeamQueue] = lane.Running
 	}
 	sum := 0
 	for _, n := range running {
@@ -228,14 +228,14 @@
 
 // divideLanes bounds a team's lanes so that together they run at most permits:
 // each keeps what it runs, and the rest goes to the lanes that wait, in turn.
-func divideLanes(c catalogue.Catalogue, lanes []task.LaneState, permits int, limits map[task.LaneKey]task.Limit) {
-	bounds, waiting := make(map[task.LaneKey]int), make(map[task.LaneKey]int)
+func divideLanes(c catalogue.Catalogue, lanes []task.TeamQueueState, permits int, limits map[task.TeamQueue]task.Limit) {
+	bounds, waiting := make(map[task.TeamQueue]int), make(map[task.TeamQueue]int)
 	for _, lane := range lanes {
-		bounds[lane.LaneKey] = lane.Running
-		waiting[lane.LaneKey] += lane.Waiting
+		bounds[lane.TeamQueue] = lane.Running
+		waiting[lane.TeamQueue] += lane.Waiting
 	}
 	spare := permits - runningIn(lanes)
-	keys := slices.SortedFunc(maps.Keys(bounds), func(a, b task.LaneKey) int { return strings.Compare(a.Queue, b.Queue) })
+	keys := slices.SortedFunc(maps.Keys(bounds), func(a, b task.TeamQueue) int { return strings.Compare(a.Queue, b.Queue) })
 	for granted := true; spare > 0 && granted; {
 		granted = false
 		for _, key := range keys {
@@ -253,23 +253,23 @@
 }
 
 // laneLimit returns a lane's limit with the team's weight on the queue.
-func laneLimit(c catalogue.Catalogue, key task.LaneKey, bound int) task.Limit {
+func laneLimit(c catalogue.Catalogue, key task.TeamQueue, bound int) task.Limit {
 	entry := c.Entries[key.Queue]
 	if entry.Limit > 0 {
 		bound = min(bound, entry.Limit)
 	}
-	return task.Limit{Running: bound, Closed: bound <= 0, Weight: float64(c.Weight(entry, key.Team))}
+	return task.Limit{MaxRunning: bound, Closed: bound <= 0, Weight: float64(c.Weight(entry, key.Team))}
 }
 
 // closeUnseen lets no task start in a lane that nothing was counted for yet:
 // it has no permits until the next round.
-func closeUnseen(c catalogue.Catalogue, limits map[task.LaneKey]task.Limit) {
+func closeUnseen(c catalogue.Catalogue, limits map[task.TeamQueue]task.Limit) {
 	for name, entry := range c.Entries {
 		if entry.Kind != catalogue.KindQueue {
 			continue
 		}
 		for team := range c.Teams {
-			key := task.LaneKey{Queue: name, Team: team}
+			key := task.TeamQueue{Queue: name, Team: team}
 			if _, seen := limits[key]; !seen {
 				limits[key] = task.Limit{Closed: true}
 			}
@@ -278,7 +278,7 @@
 }
 
 // teamsOf returns the teams that have lanes or permits, in order.
-func teamsOf(lanes map[string][]task.LaneState, reserved map[string]int) []string {
+func teamsOf(lanes map[string][]task.TeamQueueState, reserved map[string]int) []string {
 	teams := make(map[string]bool)
 	for team := range lanes {
 		teams[team] = true
--- a/internal/manager/shards_test.go
+++ b/internal/manager/shards_test.go
@@ -16,29 +16,29 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := catalogue.New()
 		c.Teams["tackle"] = catalogue.Team{Name: "tackle", UpperLimit: 100, Share: 1}
-		var lanes []task.LaneState
+		var lanes []task.TeamQueueState
 		waiting, running := 0, 0
 		for i := range rapid.IntRange(0, 5).Draw(t, "queues") {
 			name := fmt.Sprintf("queue-%d", i)
 			c.Entries[name] = catalogue.Entry{Name: name, Kind: catalogue.KindQueue, Team: "tackle"}
-			lane := task.LaneState{
-				LaneKey: task.LaneKey{Queue: name, Team: "tackle"},
-				Waiting: rapid.IntRange(0, 9).Draw(t, "waiting"),
-				Running: rapid.IntRange(0, 9).Draw(t, "running"),
+			lane := task.TeamQueueState{
+				TeamQueue: task.TeamQueue{Queue: name, Team: "tackle"},
+				Waiting:   rapid.IntRange(0, 9).Draw(t, "waiting"),
+				Running:   rapid.IntRange(0, 9).Draw(t, "running"),
 			}
 			lanes = append(lanes, lane)
 			waiting += lane.Waiting
 			running += lane.Running
 		}
 		permits := rapid.IntRange(0, 60).Draw(t, "permits")
-		limits := make(map[task.LaneKey]task.Limit)
+		limits := make(map[task.TeamQueue]task.Limit)
 		divideLanes(c, lanes, permits, limits)
 		sum := 0
 		for key, limit := range limits {
-			if got, want := limit.Closed, limit.Running <= 0; got != want {
-				t.Fatalf("lane %v with %d permits: got closed %v, want %v", key, limit.Running, got, want)
+			if got, want := limit.Closed, limit.MaxRunning <= 0; got != want {
+				t.Fatalf("lane %v with %d permits: got closed %v, want %v", key, limit.MaxRunning, got, want)
 			}
-			sum += limit.Running
+			sum += limit.MaxRunning
 		}
 		if got, want := sum, max(running, min(permits, running+waiting)); got != want {
 			t.Fatalf("permits of all lanes: got %d, want %d", got, want)
@@ -53,15 +53,15 @@
 	c.Teams["bait"] = catalogue.Team{Name: "bait"}
 	c.Entries["plans"] = catalogue.Entry{Name: "plans", Kind: catalogue.KindQueue}
 	c.Entries["orders"] = catalogue.Entry{Name: "orders", Kind: catalogue.KindService}
-	seen := task.LaneKey{Queue: "plans", Team: "tackle"}
-	limits := map[task.LaneKey]task.Limit{seen: {Running: 3}}
+	seen := task.TeamQueue{Queue: "plans", Team: "tackle"}
+	limits := map[task.TeamQueue]task.Limit{seen: {MaxRunning: 3}}
 	closeUnseen(c, limits)
 	tests := map[string]struct {
-		key  task.LaneKey
+		key  task.TeamQueue
 		want bool
 	}{
 		"seen":   {seen, false},
-		"unseen": {task.LaneKey{Queue: "plans", Team: "bait"}, true},
+		"unseen": {task.TeamQueue{Queue: "plans", Team: "bait"}, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/member/claim.go
+++ b/internal/member/claim.go
@@ -16,7 +16,7 @@
 	err := n.config.Store.Commit(ctx, table.Txn{Writes: []table.Write{{Key: record.MemberKey(self.Name), Value: record.Encode(self)}}})
 	n.noteStore(err)
 	if err != nil {
-		n.config.Journal.Note("member row not written", "error", err.Error())
+		n.config.Journal.Info("member row not written", "error", err.Error())
 	}
 	n.readMembers(ctx)
 	n.readClaim(ctx, n.Store())
@@ -26,7 +26,7 @@
 func (n *Node) readMembers(ctx context.Context) {
 	rows, err := n.Store().Scan(ctx, record.MemberPrefix)
 	if err != nil {
-		n.config.Journal.Note("members not read", "error", err.Error())
+		n.config.Journal.Info("members not read", "error", err.Error())
 		return
 	}
 	n.mu.Lock()
@@ -58,7 +58,7 @@
 	}
 	claim, err := record.Decode[record.Claim](rows[0].Value)
 	if err != nil {
-		n.config.Journal.Note("claim is not readable", "error", err.Error())
+		n.config.Journal.Info("claim is not readable", "error", err.Error())
 		return false
 	}
 	n.mu.Lock()
@@ -80,13 +80,13 @@
 	if !isNew {
 		return
 	}
-	n.config.Journal.Note("leader learned", "leader", claim.Name, "token", claim.Token, "released", claim.Released, "source", source)
+	n.config.Journal.Info("leader learned", "leader", claim.Name, "token", claim.Token, "released", claim.Released, "source", source)
 	n.claim = claim
 	n.renewedAt = time.Now()
 	if n.leading {
 		n.leading = false
 		n.resign()
-		n.config.Journal.Note("leadership lost", "to", claim.Name, "token", claim.Token)
+		n.config.Journal.Info("leadership lost", "to", claim.Name, "token", claim.Token)
 	}
 	n.heardAt = time.Now()
 	if claim.Released {
@@ -112,12 +112,12 @@
 		n.storeFailedAt = now
 	}
 	if was != isAnswer {
-		n.config.Journal.Note("store reached", "reached", isAnswer)
+		n.config.Journal.Info("store reached", "reached", isAnswer)
 	}
 }
 
 // NoteStore is for other callers of the store in this process.
-func (n *Node) NoteStore(err error) {
+func (n *Node) ObserveStore(err error) {
 	n.noteStore(err)
 }
 
--- a/internal/member/fleetclient.go
+++ b/internal/member/fleetclient.go
@@ -45,7 +45,7 @@
 
 // Accepted tells the leader of jobs that the store holds. A leader that does
 // not hear it reads them from the store's feed.
-func (f *FleetClient) Accepted(ctx context.Context, submissions [][]byte) {
+func (f *FleetClient) NotifyAccepted(ctx context.Context, submissions [][]byte) {
 	peer, isSelf := f.leader()
 	if isSelf {
 		f.local.Accept(submissions)
@@ -55,12 +55,12 @@
 		return
 	}
 	if _, err := peer.Accept(ctx, &memberpb.AcceptRequest{Submissions: submissions}); err != nil {
-		f.node.config.Journal.Note("leader not told of jobs", "jobs", len(submissions), "error", err.Error())
+		f.node.config.Journal.Info("leader not told of jobs", "jobs", len(submissions), "error", err.Error())
 	}
 }
 
 // Cancelled tells the leader of a cancel that the store holds.
-func (f *FleetClient) Cancelled(ctx context.Context, id job.ID) {
+func (f *FleetClient) NotifyCancelled(ctx context.Context, id job.ID) {
 	peer, isSelf := f.leader()
 	if isSelf {
 		f.local.Cancel(id)
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	if _, err := peer.Cancel(ctx, &memberpb.CancelRequest{Id: string(id)}); err != nil {
-		f.node.config.Journal.Note("leader not told of a cancel", "request-id", id, "error", err.Error())
+		f.node.config.Journal.Info("leader not told of a cancel", "request-id", id, "error", err.Error())
 	}
 }
 
@@ -121,14 +121,14 @@
 }
 
 // Unservable returns why no host can ever run a step's task, or "".
-func (f *FleetClient) Unservable(step job.Step) string {
+func (f *FleetClient) Unschedulable(step job.Step) string {
 	f.node.mu.Lock()
 	largest := f.node.largest
 	f.node.mu.Unlock()
-	if own := f.node.config.Largest(); own.CPU > 0 {
+	if own := f.node.config.MaxHostResources(); own.CPU > 0 {
 		largest = own
 	}
-	if largest.CPU > 0 && !step.Reserved().Fits(largest) {
+	if largest.CPU > 0 && !step.Reserved().FitsIn(largest) {
 		return "a task is larger than any endpoint"
 	}
 	return ""
--- a/internal/member/leadership.go
+++ b/internal/member/leadership.go
@@ -117,7 +117,7 @@
 		answered++
 		n.takeView(view)
 		if view.Leading || view.LeaderHeardMs < leaderSilence.Milliseconds()/2 {
-			n.config.Journal.Note("leader is heard by others", "by", member.Name)
+			n.config.Journal.Info("leader is heard by others", "by", member.Name)
 			return false
 		}
 	}
@@ -139,19 +139,19 @@
 	})
 	n.noteStore(err)
 	if err != nil && !errors.Is(err, table.ErrUnknown) {
-		n.config.Journal.Note("claim not taken", "token", next.Token, "error", err.Error())
+		n.config.Journal.Info("claim not taken", "token", next.Token, "error", err.Error())
 		n.readClaim(ctx, n.config.Store)
 		return
 	}
 	// The row's new version is part of each later transaction. A lost answer is settled here, too.
 	rows, err := n.Store().Get(ctx, record.ClaimKey)
 	if err != nil {
-		n.config.Journal.Note("claim's outcome not known", "token", next.Token, "error", err.Error())
+		n.config.Journal.Info("claim's outcome not known", "token", next.Token, "error", err.Error())
 		return
 	}
 	current, err := record.Decode[record.Claim](rows[0].Value)
 	if err != nil || current.Token != next.Token || current.Name != next.Name {
-		n.config.Journal.Note("claim taken by another", "token", current.Token, "leader", current.Name)
+		n.config.Journal.Info("claim taken by another", "token", current.Token, "leader", current.Name)
 		n.learn(current, "store")
 		return
 	}
@@ -173,7 +173,7 @@
 	n.heardAt = time.Now()
 	n.mu.Unlock()
 	metrics.GetOrCreateCounter("leaderships_total").Inc()
-	n.config.Journal.Note("leadership won", "token", claim.Token)
+	n.config.Journal.Info("leadership won", "token", claim.Token)
 	n.config.Won(leadCtx, claim, version)
 }
 
@@ -187,7 +187,7 @@
 	n.leading = false
 	n.resign()
 	n.heardAt = time.Time{}
-	n.config.Journal.Note("leadership lost", "token", token, "why", why)
+	n.config.Journal.Info("leadership lost", "token", token, "why", why)
 	n.signal()
 }
 
@@ -253,7 +253,7 @@
 	if _, err := n.dialer.dial(member.Address).Lead(lead, &memberpb.LeadRequest{Token: token}); err != nil {
 		return false
 	}
-	n.config.Journal.Note("leadership handed over", "to", member.Name, "token", token, "why", why)
+	n.config.Journal.Info("leadership handed over", "to", member.Name, "token", token, "why", why)
 	n.Lost(token, why)
 	return true
 }
@@ -275,14 +275,14 @@
 		Writes:     []table.Write{{Key: record.ClaimKey, Value: record.Encode(claim)}},
 	})
 	if err != nil {
-		n.config.Journal.Note("claim not released", "error", err.Error())
+		n.config.Journal.Info("claim not released", "error", err.Error())
 	}
 	for _, member := range n.others() {
 		call, cancel := context.WithTimeout(ctx, helloTimeout)
 		_, err := n.dialer.dial(member.Address).Lead(call, &memberpb.LeadRequest{Token: claim.Token})
 		cancel()
 		if err == nil {
-			n.config.Journal.Note("leadership handed over", "to", member.Name, "token", claim.Token, "why", "stopping")
+			n.config.Journal.Info("leadership handed over", "to", member.Name, "token", claim.Token, "why", "stopping")
 			return
 		}
 	}
@@ -309,7 +309,7 @@
 
 // Followed returns since when most members have told us that we lead, ourselves
 // among them: of the newest signs of a majority, the oldest.
-func (n *Node) Followed() time.Time {
+func (n *Node) MajorityConfirmedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	needed := (len(n.members) + 1) / 2
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -24,7 +24,7 @@
 
 type silent struct{}
 
-func (silent) Note(string, ...any) {}
+func (silent) Info(string, ...any) {}
 
 type noFleet struct{}
 
@@ -36,7 +36,7 @@
 
 type noPolicy struct{}
 
-func (noPolicy) Newer(uint64) (uint64, []byte) { return 0, nil }
+func (noPolicy) NewerThan(uint64) (uint64, []byte) { return 0, nil }
 
 // gate is a store that turns one process away.
 type gate struct {
@@ -112,10 +112,10 @@
 			defer p.mu.Unlock()
 			p.tokens = append(p.tokens, claim.Token)
 		},
-		PolicyVersion: func() uint64 { return 0 },
-		Largest:       func() policy.Resources { return policy.Resources{} },
+		PolicyVersion:    func() uint64 { return 0 },
+		MaxHostResources: func() policy.Resources { return policy.Resources{} },
 	})
-	service := member.NewService(member.ServiceConfig{Node: p.node, Fleet: noFleet{}, Policy: noPolicy{}, Hint: func(uint64, record.Member) {}})
+	service := member.NewService(member.ServiceConfig{Node: p.node, Fleet: noFleet{}, Policy: noPolicy{}, OnPolicyHint: func(uint64, record.Member) {}})
 	p.server = &http.Server{Handler: memberpb.NewMemberServer(service), ReadHeaderTimeout: time.Second}
 	served := make(chan struct{})
 	go func() {
@@ -192,7 +192,7 @@
 	ends := map[string]func(p *process){
 		"killed":                 func(p *process) { p.kill() },
 		"stopped in order":       func(p *process) { p.node.Stop(context.Background()) },
-		"turned away by a store": func(p *process) { p.gate.set(true); p.node.NoteStore(table.ErrUnavailable) },
+		"turned away by a store": func(p *process) { p.gate.set(true); p.node.ObserveStore(table.ErrUnavailable) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
@@ -226,7 +226,7 @@
 func TestOwnCancelIsNoSignOfTheStore(t *testing.T) {
 	p := newProcess(t, "a", table.NewMemory())
 	leaderOf(t, 0, p)
-	p.node.NoteStore(errors.Mark(context.Canceled, table.ErrUnavailable))
+	p.node.ObserveStore(errors.Mark(context.Canceled, table.ErrUnavailable))
 	if !p.node.StoreReached() {
 		t.Error("store reached: got false, want true")
 	}
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -44,7 +44,7 @@
 
 // Journal takes what a process comes to believe.
 type Journal interface {
-	Note(event string, fields ...any)
+	Info(event string, fields ...any)
 }
 
 // Config is what a Node is built from.
@@ -64,7 +64,7 @@
 	PolicyVersion func() uint64
 	// Largest returns the most that one host has of each resource, as far as
 	// this process has led and seen it.
-	Largest func() policy.Resources
+	MaxHostResources func() policy.Resources
 }
 
 // Node is this process among the others.
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -25,7 +25,7 @@
 // PolicyHolder is this process's copy of the operators' configuration.
 type PolicyHolder interface {
 	// Newer returns the configuration if it is newer than have.
-	Newer(have uint64) (version uint64, value []byte)
+	NewerThan(have uint64) (version uint64, value []byte)
 }
 
 // ServiceConfig is what a Service is built from.
@@ -34,7 +34,7 @@
 	Fleet  Fleet
 	Policy PolicyHolder
 	// Hint is told of versions that another process has; it must return at once.
-	Hint func(version uint64, from record.Member)
+	OnPolicyHint func(version uint64, from record.Member)
 }
 
 // Service answers the other processes.
@@ -94,14 +94,14 @@
 
 // Policy implements memberpb.Member.
 func (s *Service) Policy(_ context.Context, request *memberpb.PolicyRequest) (*memberpb.PolicyReply, error) {
-	version, value := s.config.Policy.Newer(request.Have)
+	version, value := s.config.Policy.NewerThan(request.Have)
 	return &memberpb.PolicyReply{Version: version, Value: value}, nil
 }
 
 // PolicyHint implements memberpb.Member.
 func (s *Service) PolicyHint(_ context.Context, request *memberpb.PolicyHintRequest) (*memberpb.LeadReply, error) {
 	if from, ok := decodeAddress(request.From); ok {
-		s.config.Hint(request.Version, from)
+		s.config.OnPolicyHint(request.Version, from)
 	}
 	return &memberpb.LeadReply{}, nil
 }
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -32,7 +32,7 @@
 
 // view is what we tell others.
 func (n *Node) view() *memberpb.View {
-	largest := n.config.Largest()
+	largest := n.config.MaxHostResources()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	heard := time.Since(n.heardAt)
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -62,11 +62,11 @@
 // quiet reports whether nothing here is urgent for the peers to know. A peer
 // that is busy exchanges states with this process of its own accord.
 func (n *Node) quiet() bool {
-	if time.Now().UnixNano() < n.activeUntil.Load() || len(n.ledger.Resend()) > 0 || len(n.ledger.Reports()) > 0 {
+	if time.Now().UnixNano() < n.activeUntil.Load() || len(n.ledger.Unconfirmed()) > 0 || len(n.ledger.Reports()) > 0 {
 		return false
 	}
 	for _, part := range n.parts {
-		if part.Busy() {
+		if part.IsUrgent() {
 			return false
 		}
 	}
@@ -105,7 +105,7 @@
 		return
 	}
 	n.noteAnswer(member.Identity)
-	n.configuration.Heard(started, peer.Statement(reply.GetFrom(), reply.GetConfiguration()))
+	n.configuration.HandleStatement(started, peer.Statement(reply.GetFrom(), reply.GetConfiguration()))
 	n.absorb(reply)
 }
 
@@ -125,7 +125,7 @@
 	for _, status := range n.ledger.Statuses() {
 		state.Permits = append(state.Permits, peer.PermitsMessage(status))
 	}
-	for _, transfer := range n.ledger.Resend() {
+	for _, transfer := range n.ledger.Unconfirmed() {
 		if transfer.To == limit.Member(to.String()) {
 			state.Transfers = append(state.Transfers, peer.TransferMessage(transfer))
 		}
@@ -134,7 +134,7 @@
 		state.Reports = append(state.Reports, peer.ReportMessage(report))
 	}
 	for _, part := range n.parts {
-		part.Fill(state)
+		part.FillState(state)
 	}
 	return state
 }
@@ -155,7 +155,7 @@
 	}
 	n.trade(from, state)
 	for _, part := range n.parts {
-		part.Absorb(from, state)
+		part.ApplyState(from, state)
 	}
 }
 
@@ -280,7 +280,7 @@
 }
 
 // NoteInForce keeps that the member has confirmed the revision.
-func (n *Node) NoteInForce(id roster.Identity, confirmed uint64) {
+func (n *Node) RecordInForce(id roster.Identity, confirmed uint64) {
 	view := n.view(id)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,15 +48,15 @@
 // methods are called from several goroutines.
 type Part interface {
 	// Fill adds to the state that goes to a peer.
-	Fill(state *peerpb.State)
+	FillState(state *peerpb.State)
 	// Absorb takes a peer's state.
-	Absorb(from roster.Identity, state *peerpb.State)
+	ApplyState(from roster.Identity, state *peerpb.State)
 	// RosterChanged takes a roster with the version of its row.
 	RosterChanged(members roster.Roster, rowVersion uint64)
 	// HostsChanged takes the hosts' assignments to pools, by host.
 	HostsChanged(assignments map[string]pool.Assignment)
 	// Busy reports whether peers should hear of this process without delay.
-	Busy() bool
+	IsUrgent() bool
 	// PermitsChanged tells that the ledger may hold more permits than before.
 	PermitsChanged()
 }
@@ -87,7 +87,7 @@
 // Node is one member of the deployment.
 type Node struct {
 	config        Config
-	configuration *revision.Holder
+	configuration *revision.Replica
 	ledger        *limit.Ledger
 	parts         []Part
 
@@ -118,7 +118,7 @@
 	self := config.Self
 	n := &Node{
 		config: config,
-		configuration: revision.NewHolder(revision.HolderConfig{
+		configuration: revision.NewReplica(revision.ReplicaConfig{
 			Self:  revision.Member(self.Identity),
 			Bound: config.FreshBound,
 		}),
@@ -141,7 +141,7 @@
 func (n *Node) Member() limit.Member { return limit.Member(n.config.Self.Identity.String()) }
 
 // Configuration returns the holder of the configuration in force.
-func (n *Node) Configuration() *revision.Holder { return n.configuration }
+func (n *Node) Configuration() *revision.Replica { return n.configuration }
 
 // Ledger returns this process's permits.
 func (n *Node) Ledger() *limit.Ledger { return n.ledger }
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -13,7 +13,7 @@
 const askTimeout = 500 * time.Millisecond
 
 // Short tells that the team has no idle permit here, to ask peers at once.
-func (n *Node) Short(team string) {
+func (n *Node) RequestPermits(team string) {
 	select {
 	case n.asks <- team:
 	default:
@@ -37,13 +37,13 @@
 // is left to its own loop: a peer that does not answer must not delay gossip.
 func (n *Node) askForAll() {
 	for team := range n.configuration.View().State.Catalogue.Teams {
-		n.Short(team)
+		n.RequestPermits(team)
 	}
 }
 
 // ask requests permits of a team from the peers that have idle ones.
 func (n *Node) ask(ctx context.Context, team string) {
-	for _, ask := range n.ledger.Wanted(team, n.peerPermits(team)) {
+	for _, ask := range n.ledger.TransferRequests(team, n.peerPermits(team)) {
 		member, ok := n.FindMember(ask.To)
 		if !ok {
 			continue
@@ -54,7 +54,7 @@
 }
 
 // askMember makes one request and takes over what is given.
-func (n *Node) askMember(ctx context.Context, member roster.Member, ask limit.Ask) {
+func (n *Node) askMember(ctx context.Context, member roster.Member, ask limit.TransferRequest) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	reply, err := n.Dial(member).Ask(ctx, peer.AskMessage(ask))
@@ -111,7 +111,7 @@
 			continue
 		}
 		for team := range n.configuration.View().State.Catalogue.Teams {
-			n.ledger.Leave(team, limit.Member(member.Identity.String()))
+			n.ledger.TransferIdle(team, limit.Member(member.Identity.String()))
 		}
 		// The exchange carries the transfers, which are repeated each time.
 		n.exchange(ctx, member)
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	n.seeRoster(members, rows[1].Version)
-	n.configuration.Read(started, managersOf(members), newest)
+	n.configuration.ObserveRoster(started, managersOf(members), newest)
 	if newest > n.configuration.View().State.Revision {
 		return n.load(ctx)
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return errors.Wrap(err, "load the configuration")
 	}
-	if n.configuration.Offer(state) {
+	if n.configuration.Update(state) {
 		n.config.Log.Info("configuration in force", "revision", state.Revision, "source", "table")
 	}
 	return nil
@@ -96,11 +96,11 @@
 		return errors.Wrap(err, "read the limits")
 	}
 	for _, row := range rows {
-		grant, err := limit.ParseGrant(row.Value)
+		grant, err := limit.ParseAllocation(row.Value)
 		if err != nil {
 			return errors.Wrapf(err, "decode row %q", row.Key)
 		}
-		n.ledger.Adopt(grant)
+		n.ledger.Apply(grant)
 	}
 	n.permitsChanged()
 	return nil
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -26,7 +26,7 @@
 	if state.GetManager() {
 		// A manager commits only once every member knows it, also those whose
 		// roster does not have it yet.
-		s.node.configuration.Admit(revision.Member(peer.Identity(state.GetFrom())), now)
+		s.node.configuration.AddManager(revision.Member(peer.Identity(state.GetFrom())), now)
 	}
 	s.node.absorb(state)
 	return s.node.state(now, peer.Identity(state.GetFrom()), state.GetManagersDigest()), nil
@@ -35,7 +35,7 @@
 // Push takes a committed change of the configuration.
 func (s *Service) Push(_ context.Context, request *peerpb.PushRequest) (*peerpb.PushReply, error) {
 	change := peer.Change(request)
-	if s.node.configuration.OfferChange(change) {
+	if s.node.configuration.ApplyChange(change) {
 		s.node.config.Log.Info("configuration in force", "revision", change.Revision, "source", "push")
 	} else if change.Revision > s.node.configuration.View().State.Revision {
 		s.node.PollNow()
@@ -46,8 +46,8 @@
 // Ask gives permits to a peer.
 func (s *Service) Ask(_ context.Context, request *peerpb.AskRequest) (*peerpb.AskReply, error) {
 	ask := peer.Ask(request)
-	transfer, ok := s.node.ledger.Give(ask)
-	if !ok && !s.node.ledger.Lists(ask.Team, ask.From) {
+	transfer, ok := s.node.ledger.HandleTransferRequest(ask)
+	if !ok && !s.node.ledger.IsMember(ask.Team, ask.From) {
 		// The team's row lists a new member that this process has not read of.
 		s.node.PollNow()
 	}
--- a/internal/operator/answer.go
+++ b/internal/operator/answer.go
@@ -44,7 +44,7 @@
 
 func problemOf(err error) api.Problem {
 	var given *api.Problem
-	var race *revision.RaceError
+	var race *revision.StaleRevisionError
 	var reused *revision.ReusedError
 	var phase *pool.PhaseError
 	p := api.Problem{Status: http.StatusServiceUnavailable, Title: err.Error(), Outcome: api.OutcomeNotRun, RetryAfter: retryAfter}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -84,11 +84,11 @@
 	s := &setup{store: table.NewMemory(), fleet: &fleet{confirmed: map[string]uint64{"entry-1": 0, "entry-2": 0}}}
 	config := client.Config{Key: operatorKey, Attempts: 4}
 	for range 2 {
-		author := revision.NewAuthor(revision.AuthorConfig{
-			Store:  s.store,
-			Holder: revision.NewHolder(revision.HolderConfig{}),
-			Ready:  func() bool { return true },
-			Guard:  func() []table.Condition { return nil },
+		author := revision.NewCommitter(revision.CommitterConfig{
+			Store:   s.store,
+			Replica: revision.NewReplica(revision.ReplicaConfig{}),
+			Ready:   func() bool { return true },
+			Guard:   func() []table.Condition { return nil },
 		})
 		server := httptest.NewServer(operator.New(operator.Config{
 			Store:   s.store,
--- a/internal/peer/charges.go
+++ b/internal/peer/charges.go
@@ -9,7 +9,7 @@
 )
 
 // ChargeMessages encodes charges and unproven runs.
-func ChargeMessages(entries []charge.Entry) ([][]byte, error) {
+func ChargeMessages(entries []charge.Record) ([][]byte, error) {
 	encoded := make([][]byte, len(entries))
 	for i, entry := range entries {
 		value, err := json.Marshal(entry)
@@ -22,8 +22,8 @@
 }
 
 // Charges decodes charges and unproven runs.
-func Charges(encoded [][]byte) ([]charge.Entry, error) {
-	entries := make([]charge.Entry, len(encoded))
+func Charges(encoded [][]byte) ([]charge.Record, error) {
+	entries := make([]charge.Record, len(encoded))
 	for i, value := range encoded {
 		if err := json.Unmarshal(value, &entries[i]); err != nil {
 			return nil, errors.Wrap(err, "decode charge")
--- a/internal/peer/claims.go
+++ b/internal/peer/claims.go
@@ -26,14 +26,14 @@
 // TokenMessage encodes the name of an attempt.
 func TokenMessage(t claim.Token) *peerpb.Token {
 	return &peerpb.Token{
-		Claimant: IdentityMessage(t.Claimant), Home: IdentityMessage(t.Home), Sequence: t.Sequence,
+		Claimant: IdentityMessage(t.Claimant), Home: IdentityMessage(t.Primary), Sequence: t.Sequence,
 	}
 }
 
 // Token decodes the name of an attempt.
 func Token(m *peerpb.Token) claim.Token {
 	return claim.Token{
-		Claimant: Identity(m.GetClaimant()), Home: Identity(m.GetHome()), Sequence: m.GetSequence(),
+		Claimant: Identity(m.GetClaimant()), Primary: Identity(m.GetHome()), Sequence: m.GetSequence(),
 	}
 }
 
--- a/internal/peer/configuration.go
+++ b/internal/peer/configuration.go
@@ -12,7 +12,7 @@
 // inForce is the revision of its copy.
 func StatementMessage(s revision.Statement, inForce uint64) *peerpb.Statement {
 	m := &peerpb.Statement{
-		Revision: s.Revision, InForce: inForce, Unsettled: s.Unsettled, Final: s.Final,
+		Revision: s.Revision, InForce: inForce, Unsettled: s.Unresolved, Final: s.Final,
 		TableKnown: s.TableKnown, TableRevision: s.TableRevision, TableAge: durationpb.New(s.TableAge),
 	}
 	for _, manager := range s.Managers {
@@ -25,7 +25,7 @@
 func Statement(from *peerpb.Identity, m *peerpb.Statement) revision.Statement {
 	s := revision.Statement{
 		From:     revision.Member{Name: from.GetName(), Incarnation: from.GetIncarnation()},
-		Revision: m.GetRevision(), Unsettled: m.GetUnsettled(), Final: m.GetFinal(),
+		Revision: m.GetRevision(), Unresolved: m.GetUnsettled(), Final: m.GetFinal(),
 		TableKnown: m.GetTableKnown(), TableRevision: m.GetTableRevision(), TableAge: m.GetTableAge().AsDuration(),
 	}
 	for _, manager := range m.GetManagers() {
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -94,7 +94,7 @@
 			t.Fatalf("a request that was decoded does not encode: %v", err)
 		}
 		ledger := limit.New(limit.Config{Self: "a/1"})
-		ledger.Adopt(limit.Grant{Team: "t", Generation: 1, Limit: 5, Granted: map[limit.Member]int{"a/1": 3, "b/1": 2}})
+		ledger.Apply(limit.Allocation{Team: "t", Generation: 1, Limit: 5, Granted: map[limit.Member]int{"a/1": 3, "b/1": 2}})
 		ledger.Acquire("t")
 		report, ok := ledger.Freeze(request)
 		if ok && report.Holding < 0 {
--- a/internal/peer/limits.go
+++ b/internal/peer/limits.go
@@ -26,7 +26,7 @@
 }
 
 // AskMessage encodes a request for permits.
-func AskMessage(a limit.Ask) *peerpb.AskRequest {
+func AskMessage(a limit.TransferRequest) *peerpb.AskRequest {
 	return &peerpb.AskRequest{
 		Team: a.Team, Generation: a.Generation,
 		From: string(a.From), To: string(a.To), Want: int32(a.Want), Holding: int32(a.Holding),
@@ -34,8 +34,8 @@
 }
 
 // Ask decodes a request for permits.
-func Ask(m *peerpb.AskRequest) limit.Ask {
-	return limit.Ask{
+func Ask(m *peerpb.AskRequest) limit.TransferRequest {
+	return limit.TransferRequest{
 		Team: m.GetTeam(), Generation: m.GetGeneration(),
 		From: limit.Member(m.GetFrom()), To: limit.Member(m.GetTo()), Want: int(m.GetWant()), Holding: int(m.GetHolding()),
 	}
@@ -86,7 +86,7 @@
 
 // Freeze decodes a request to end a generation's trade.
 func Freeze(m *peerpb.FreezeRequest) (limit.FreezeRequest, error) {
-	row, err := limit.ParseGrant(m.GetRow())
+	row, err := limit.ParseAllocation(m.GetRow())
 	if err != nil {
 		return limit.FreezeRequest{}, errors.Wrap(err, "decode limit row")
 	}
--- a/internal/policy/holder.go
+++ b/internal/policy/holder.go
@@ -7,7 +7,7 @@
 
 // Journal takes what the holder comes to believe.
 type Journal interface {
-	Note(event string, fields ...any)
+	Info(event string, fields ...any)
 }
 
 // HolderConfig configures a holder.
@@ -16,8 +16,8 @@
 	Decode func(value []byte) (*Policy, error)
 	// Changed is called with each newer version, one at a time; fresh is true if
 	// it came from the store and not from another process.
-	Changed func(current *Policy, fresh bool)
-	Journal Journal
+	OnChange func(current *Policy, fresh bool)
+	Journal  Journal
 }
 
 // SourceStore is the source of configurations that were read from the store.
@@ -50,13 +50,13 @@
 }
 
 // Offer puts a configuration in force if it is newer.
-func (h *Holder) Offer(value []byte, source string) {
+func (h *Holder) Update(value []byte, source string) {
 	if len(value) == 0 {
 		return
 	}
 	offered, err := h.config.Decode(value)
 	if err != nil {
-		h.config.Journal.Note("configuration not readable", "source", source, "error", err.Error())
+		h.config.Journal.Info("configuration not readable", "source", source, "error", err.Error())
 		return
 	}
 	h.mu.Lock()
@@ -66,13 +66,13 @@
 	}
 	h.value = value
 	h.current.Store(offered)
-	h.config.Journal.Note("configuration in force", "version", offered.Version, "source", source,
+	h.config.Journal.Info("configuration in force", "version", offered.Version, "source", source,
 		"queues", len(offered.Queues), "accounts", len(offered.Accounts))
-	h.config.Changed(offered, source == SourceStore)
+	h.config.OnChange(offered, source == SourceStore)
 }
 
 // Newer returns the configuration if it is newer than have.
-func (h *Holder) Newer(have uint64) (version uint64, value []byte) {
+func (h *Holder) NewerThan(have uint64) (version uint64, value []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	version = h.Version()
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -42,7 +42,7 @@
 }
 
 // Fits reports whether r is within room in each resource.
-func (r Resources) Fits(room Resources) bool {
+func (r Resources) FitsIn(room Resources) bool {
 	return r.CPU <= room.CPU && r.Memory <= room.Memory && r.GPU <= room.GPU
 }
 
@@ -50,9 +50,9 @@
 // advice service names.
 type Advice struct {
 	// Decide is how long a call takes, and Each what it takes for each host named.
-	Decide, Each time.Duration
+	BaseLatency, PerHostLatency time.Duration
 	// Valid is how long a ticket can be used.
-	Valid time.Duration
+	TicketLifetime time.Duration
 }
 
 // Queue takes jobs under a host name and path prefix.
@@ -97,10 +97,10 @@
 
 // Limits bounds a request.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderRead  time.Duration
-	Idle        time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Config is what a Policy is built from.
@@ -161,7 +161,7 @@
 }
 
 // AccountOf returns the name of the client account that holds key.
-func (p *Policy) AccountOf(key string) (string, bool) {
+func (p *Policy) AccountByKey(key string) (string, bool) {
 	name, ok := p.byKey[key]
 	return name, ok && key != ""
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -35,7 +35,7 @@
 func TestKeys(t *testing.T) {
 	current := policy.New(policy.Config{Accounts: []policy.Account{{Name: "shop", Keys: []string{"k1", "k2"}}, {Name: "none", Keys: []string{""}}}})
 	for key, want := range map[string]string{"k1": "shop", "k2": "shop", "k3": "", "": ""} {
-		got, ok := current.AccountOf(key)
+		got, ok := current.AccountByKey(key)
 		if ok != (want != "") || ok && got != want {
 			t.Errorf("account of %q: got %q (%t), want %q", key, got, ok, want)
 		}
@@ -44,7 +44,7 @@
 
 type silent struct{}
 
-func (silent) Note(string, ...any) {}
+func (silent) Info(string, ...any) {}
 
 func TestHolderNeverGoesBack(t *testing.T) {
 	var changes []uint64
@@ -55,19 +55,19 @@
 			}
 			return policy.New(policy.Config{Version: uint64(value[0] - '0')}), nil
 		},
-		Changed: func(current *policy.Policy, _ bool) { changes = append(changes, current.Version) },
-		Journal: silent{},
+		OnChange: func(current *policy.Policy, _ bool) { changes = append(changes, current.Version) },
+		Journal:  silent{},
 	})
 	for _, value := range []string{"3", "2", "x", "", "3", "5"} {
-		holder.Offer([]byte(value), policy.SourceStore)
+		holder.Update([]byte(value), policy.SourceStore)
 	}
 	if len(changes) != 2 || changes[0] != 3 || changes[1] != 5 {
 		t.Errorf("versions in force: got %v, want 3 and 5", changes)
 	}
-	if version, value := holder.Newer(4); version != 5 || string(value) != "5" {
+	if version, value := holder.NewerThan(4); version != 5 || string(value) != "5" {
 		t.Errorf("newer than 4: got %d %q, want 5", version, value)
 	}
-	if _, value := holder.Newer(5); value != nil {
+	if _, value := holder.NewerThan(5); value != nil {
 		t.Errorf("newer than 5: got %q, want none", value)
 	}
 }
--- a/internal/process/feeds.go
+++ b/internal/process/feeds.go
@@ -90,7 +90,7 @@
 		Version: version, From: &memberpb.Address{Name: n.settings.Name, Address: n.settings.Peers.String()},
 	})
 	if err != nil {
-		n.journal.Note("configuration not pushed", "peer", peer.Name, "error", err.Error())
+		n.journal.Info("configuration not pushed", "peer", peer.Name, "error", err.Error())
 	}
 }
 
@@ -148,7 +148,7 @@
 		n.takeNews(news)
 		known = err == nil || known && !errors.Is(err, table.ErrHistoryLost)
 		if err != nil {
-			n.journal.Note("operators' rows not read", "version", version, "error", err.Error())
+			n.journal.Info("operators' rows not read", "version", version, "error", err.Error())
 			pause(ctx, operatorRetry)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // takeNews puts operators' rows in force.
 func (n *frontNode) takeNews(news platform.OperatorNews) {
-	n.holder.Offer(news.Policy, policy.SourceStore)
+	n.holder.Update(news.Policy, policy.SourceStore)
 	for _, wave := range news.Waves {
 		n.control.SetWave(wave)
 	}
@@ -203,10 +203,10 @@
 	have := n.holder.Version()
 	reply, err := n.member.Dial(peer.Address).Policy(call, &memberpb.PolicyRequest{Have: have})
 	if err != nil {
-		n.journal.Note("configuration not read from a peer", "peer", peer.Name, "have", have, "error", err.Error())
+		n.journal.Info("configuration not read from a peer", "peer", peer.Name, "have", have, "error", err.Error())
 		return false
 	}
-	n.holder.Offer(reply.Value, "peer")
+	n.holder.Update(reply.Value, "peer")
 	return n.holder.Version() > have
 }
 
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -87,10 +87,10 @@
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(float64(config.Settings.MemoryMiB) * memoryShare * (1 << 20)))
 	n := newFrontNode(config)
-	n.journal.Note("start", "data-centre", n.settings.DataCentre, "callers", n.settings.Callers.String(),
+	n.journal.Info("start", "data-centre", n.settings.DataCentre, "callers", n.settings.Callers.String(),
 		"peers", n.settings.Peers.String(), "first-start", n.settings.FirstStart)
 	if n.settings.OrdersWithReports {
-		n.journal.Note("orders are sent by calls", "setting", "heartbeat", "why", "the platform's pages show no form for orders in answers to reports")
+		n.journal.Info("orders are sent by calls", "setting", "heartbeat", "why", "the platform's pages show no form for orders in answers to reports")
 	}
 	return n.run(ctx)
 }
@@ -105,15 +105,15 @@
 	}
 	n.store = platform.NewStore(platform.StoreConfig{Client: client, Address: settings.Store, Timeout: storeTimeout})
 	unreadable := func(key string, err error) {
-		n.journal.Note("row not readable", "key", key, "error", err.Error())
+		n.journal.Info("row not readable", "key", key, "error", err.Error())
 	}
 	n.operator = platform.OperatorRows{Store: n.store, Unreadable: unreadable}
-	n.holder = policy.NewHolder(policy.HolderConfig{Decode: platform.DecodePolicy, Changed: n.policyChanged, Journal: n.journal})
+	n.holder = policy.NewHolder(policy.HolderConfig{Decode: platform.DecodePolicy, OnChange: n.policyChanged, Journal: n.journal})
 	n.member = member.New(member.Config{
 		Name: settings.Name, Address: settings.Peers, Processor: settings.Processor, Seeds: settings.Seeds, Store: n.store, Journal: n.journal,
-		Won:           func(ctx context.Context, won memberClaim, version uint64) { n.control.Lead(ctx, won, version) },
-		PolicyVersion: n.holder.Version,
-		Largest:       func() policy.Resources { return n.control.Largest() },
+		Won:              func(ctx context.Context, won memberClaim, version uint64) { n.control.Lead(ctx, won, version) },
+		PolicyVersion:    n.holder.Version,
+		MaxHostResources: func() policy.Resources { return n.control.MaxHostResources() },
 	})
 	var advice control.Advice
 	if settings.Advice.IsValid() {
@@ -127,11 +127,11 @@
 			Client: client, Address: settings.Hosts, Holder: settings.Name, Timeout: hostTimeout,
 		}),
 		Advice: advice, WaveStatus: platform.WaveStatus{}, Bounds: settings.Bounds.FleetBounds(), Journal: n.journal,
-		Lost: n.member.Lost, Followed: n.member.Followed, StoreAnswered: n.storeAnswered,
+		Lost: n.member.Lost, MajorityConfirmedAt: n.member.MajorityConfirmedAt, ObserveStore: n.storeAnswered,
 	})
 	n.ingress = ingress.New(ingress.Config{
 		Policy: n.holder, Store: n.member.Store(), Fleet: member.NewFleetClient(n.member, n.control),
-		Form: platform.Form{}, Journal: n.journal, RowBytes: settings.CellBytes,
+		Codec: platform.Form{}, Journal: n.journal, RowBytes: settings.CellBytes,
 	})
 	return n
 }
@@ -141,7 +141,7 @@
 	if errors.Is(err, table.ErrHistoryLost) {
 		err = nil
 	}
-	n.member.NoteStore(err)
+	n.member.ObserveStore(err)
 }
 
 // run opens the ports and works until ctx ends.
@@ -176,14 +176,14 @@
 	}
 	end()
 	group.Wait()
-	n.journal.Note("stopped")
+	n.journal.Info("stopped")
 	return nil
 }
 
 // stop leaves in order: no new connections, no leadership, the answers, the end.
 func (n *frontNode) stop(listeners []*listener) {
 	deadline := time.Now().Add(n.settings.Bounds.Grace - stopReserve)
-	n.journal.Note("stopping", "grace", n.settings.Bounds.Grace.String())
+	n.journal.Info("stopping", "grace", n.settings.Bounds.Grace.String())
 	n.stopping.Store(true)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -226,7 +226,7 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	})
-	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, Hint: n.takeHint})
+	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, OnPolicyHint: n.takeHint})
 	ports := []struct {
 		name    string
 		address netip.AddrPort
@@ -256,14 +256,14 @@
 // serve answers until the server is stopped.
 func (l *listener) serve(context.Context) {
 	if err := l.server.Serve(l.socket); !errors.Is(err, http.ErrServerClosed) {
-		l.journal.Note("port closed", "port", l.name, "error", err.Error())
+		l.journal.Info("port closed", "port", l.name, "error", err.Error())
 	}
 }
 
 // stop ends the port once its requests are answered, or when ctx ends.
 func (l *listener) stop(ctx context.Context) {
 	if err := l.server.Shutdown(ctx); err != nil {
-		l.journal.Note("port not drained", "port", l.name, "error", err.Error())
+		l.journal.Info("port not drained", "port", l.name, "error", err.Error())
 	}
 	_ = l.server.Close()
 }
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -25,7 +25,7 @@
 	defer ticker.Stop()
 	last, err := os.ReadFile(n.config.SettingsPath)
 	if err != nil {
-		n.journal.Note("settings not read", "error", err.Error())
+		n.journal.Info("settings not read", "error", err.Error())
 	}
 	for {
 		cause := "file"
@@ -38,7 +38,7 @@
 		}
 		text, err := os.ReadFile(n.config.SettingsPath)
 		if err != nil {
-			n.journal.Note("settings not read", "error", err.Error())
+			n.journal.Info("settings not read", "error", err.Error())
 			continue
 		}
 		if cause == "file" && bytes.Equal(text, last) {
@@ -53,8 +53,8 @@
 func (n *frontNode) reload(text []byte, cause string) {
 	settings, err := platform.DecodeSettings(text)
 	if err != nil {
-		n.journal.Note("reload", "cause", cause, "kept", true, "error", err.Error())
+		n.journal.Info("reload", "cause", cause, "kept", true, "error", err.Error())
 		return
 	}
-	n.journal.Note("reload", "cause", cause, "changed", settings.Bounds != n.settings.Bounds || settings.Store != n.settings.Store)
+	n.journal.Info("reload", "cause", cause, "changed", settings.Bounds != n.settings.Bounds || settings.Store != n.settings.Store)
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -40,17 +40,17 @@
 
 // Keys and prefixes of the leader's part, and of the members.
 const (
-	ClaimKey       = "control/leader/claim"
-	RenewalKey     = "control/leader/renewal"
-	SequenceKey    = "control/leader/sequence"
-	ProgressPrefix = "progress/leader/"
-	WavePrefix     = "waves/leader/"
-	ChangePrefix   = "changes/leader/"
-	MemberPrefix   = "members//"
+	ClaimKey         = "control/leader/claim"
+	RenewalKey       = "control/leader/renewal"
+	SequenceKey      = "control/leader/sequence"
+	ProgressPrefix   = "progress/leader/"
+	WavePrefix       = "waves/leader/"
+	HostChangePrefix = "changes/leader/"
+	MemberPrefix     = "members//"
 )
 
 // Shard returns the part that holds a job's rows: jobs are spread over parts.
-func Shard(id job.ID) int {
+func ShardOf(id job.ID) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
 	return int(hash.Sum32() % JobShards)
@@ -68,12 +68,12 @@
 
 // JobKey is the row of a job as it was accepted.
 func JobKey(id job.ID) string {
-	return JobPrefix(Shard(id)) + string(id)
+	return JobPrefix(ShardOf(id)) + string(id)
 }
 
 // CancelKey is the row that says that a caller cancelled a job.
 func CancelKey(id job.ID) string {
-	return CancelPrefix(Shard(id)) + string(id)
+	return CancelPrefix(ShardOf(id)) + string(id)
 }
 
 // ProgressKey is the row of what has ended of a job.
@@ -87,12 +87,12 @@
 }
 
 // ChangeKey is the row that says when a host was last about to be changed.
-func ChangeKey(host string) string {
-	return ChangePrefix + host
+func HostChangeKey(host string) string {
+	return HostChangePrefix + host
 }
 
 // Change is when, by the time of day of the leader, a host was about to be changed.
-type Change struct {
+type HostChange struct {
 	At time.Time `json:"at"`
 }
 
@@ -102,7 +102,7 @@
 }
 
 // IDOf returns the last part of a key.
-func IDOf(key string) string {
+func LastSegment(key string) string {
 	return key[strings.LastIndexByte(key, '/')+1:]
 }
 
--- a/internal/revision/author.go
+++ b/internal/revision/author.go
@@ -14,9 +14,9 @@
 var ErrJoining = errors.New("this manager is still joining the roster")
 
 // AuthorConfig configures an Author.
-type AuthorConfig struct {
-	Store  table.Store
-	Holder *Holder
+type CommitterConfig struct {
+	Store   table.Store
+	Replica *Replica
 	// Ready reports whether the manager may commit, as Joiner does.
 	Ready func() bool
 	// Guard returns the condition that the manager's roster row is in place.
@@ -25,8 +25,8 @@
 
 // Author commits the changes of one manager and keeps the manager's statements
 // true meanwhile.
-type Author struct {
-	config AuthorConfig
+type Committer struct {
+	config CommitterConfig
 
 	mu sync.Mutex
 	// uncertain counts commits whose outcome stayed unknown.
@@ -34,13 +34,13 @@
 }
 
 // NewAuthor returns an author.
-func NewAuthor(config AuthorConfig) *Author {
-	return &Author{config: config}
+func NewCommitter(config CommitterConfig) *Committer {
+	return &Committer{config: config}
 }
 
 // Commit runs a Transaction and offers its change to the holder. Errors: those
 // of Transaction, and ErrJoining.
-func (a *Author) Commit(ctx context.Context, op Operation, edit Edit) (Change, error) {
+func (a *Committer) Commit(ctx context.Context, op Operation, edit Edit) (Change, error) {
 	if !a.config.Ready() {
 		return Change{}, ErrJoining
 	}
@@ -48,7 +48,7 @@
 		op.ID = rand.Text()
 	}
 	op.Guard = append(op.Guard, a.config.Guard()...)
-	a.config.Holder.Begin()
+	a.config.Replica.BeginCommit()
 	change, err := Transaction(ctx, a.config.Store, op, edit)
 	if table.IsUnknown(err) {
 		a.mu.Lock()
@@ -56,23 +56,23 @@
 		a.mu.Unlock()
 		return change, err
 	}
-	a.config.Holder.Settled(change.Revision)
+	a.config.Replica.EndCommit(change.Revision)
 	if err == nil {
-		a.config.Holder.OfferChange(change)
+		a.config.Replica.ApplyChange(change)
 	}
 	return change, err
 }
 
 // Settle finds out about commits whose outcome stayed unknown, if there are
 // any. The owner calls it at every poll.
-func (a *Author) Settle(ctx context.Context) error {
+func (a *Committer) Resolve(ctx context.Context) error {
 	a.mu.Lock()
 	count := a.uncertain
 	a.mu.Unlock()
 	if count == 0 {
 		return nil
 	}
-	newest, err := Settle(ctx, a.config.Store)
+	newest, err := Resolve(ctx, a.config.Store)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	a.uncertain -= count
 	a.mu.Unlock()
 	for range count {
-		a.config.Holder.Settled(newest)
+		a.config.Replica.EndCommit(newest)
 	}
 	return nil
 }
--- a/internal/revision/author_test.go
+++ b/internal/revision/author_test.go
@@ -15,17 +15,17 @@
 func TestAuthorSettles(t *testing.T) {
 	ctx := context.Background()
 	late := &lateStore{Memory: table.NewMemory()}
-	holder := revision.NewHolder(revision.HolderConfig{})
+	holder := revision.NewReplica(revision.ReplicaConfig{})
 	author := newAuthor(late, holder, func() bool { return true })
 	if _, err := author.Commit(ctx, revision.Operation{}, addLimit); !table.IsUnknown(err) {
 		t.Fatalf("got %v, want unknown", err)
 	}
 	late.reachable = true
 	for _, want := range []bool{true, false} {
-		if got := holder.Statement(time.Time{}, 0).Unsettled; got != want {
+		if got := holder.Statement(time.Time{}, 0).Unresolved; got != want {
 			t.Errorf("unsettled: got %v, want %v", got, want)
 		}
-		if err := author.Settle(ctx); err != nil {
+		if err := author.Resolve(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -45,10 +45,10 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			holder := revision.NewHolder(revision.HolderConfig{})
+			holder := revision.NewReplica(revision.ReplicaConfig{})
 			author := newAuthor(tc.store, holder, func() bool { return true })
 			_, err := author.Commit(ctx, revision.Operation{}, func(s revision.State) (revision.State, error) {
-				if !holder.Statement(time.Time{}, 0).Unsettled {
+				if !holder.Statement(time.Time{}, 0).Unresolved {
 					t.Error("during the commit: got settled, want unsettled")
 				}
 				return addLimit(s)
@@ -57,7 +57,7 @@
 				t.Errorf("unknown: got %v, want %v", got, tc.wantUnsettled)
 			}
 			said := holder.Statement(time.Time{}, 0)
-			if said.Unsettled != tc.wantUnsettled || said.Revision != tc.wantRevision {
+			if said.Unresolved != tc.wantUnsettled || said.Revision != tc.wantRevision {
 				t.Errorf("got %+v, want unsettled %v at revision %d", said, tc.wantUnsettled, tc.wantRevision)
 			}
 		})
@@ -67,7 +67,7 @@
 func TestAuthorWaitsUntilItMayCommit(t *testing.T) {
 	store := table.NewMemory()
 	joiner := revision.NewJoiner([]revision.Member{{Name: "entry"}, {Name: "gone"}})
-	author := newAuthor(store, revision.NewHolder(revision.HolderConfig{}), joiner.Ready)
+	author := newAuthor(store, revision.NewReplica(revision.ReplicaConfig{}), joiner.Ready)
 	commit := func() error {
 		_, err := author.Commit(context.Background(), revision.Operation{}, addLimit)
 		return err
@@ -75,18 +75,18 @@
 	if err := commit(); !errors.Is(err, revision.ErrJoining) {
 		t.Errorf("got %v, want %v", err, revision.ErrJoining)
 	}
-	joiner.Admitted(revision.Member{Name: "entry"})
-	joiner.Roster([]revision.Member{{Name: "entry"}})
+	joiner.Acknowledge(revision.Member{Name: "entry"})
+	joiner.ApplyRoster([]revision.Member{{Name: "entry"}})
 	if err := commit(); err != nil {
 		t.Errorf("got %v, want no error", err)
 	}
 }
 
-func newAuthor(store table.Store, holder *revision.Holder, ready func() bool) *revision.Author {
-	return revision.NewAuthor(revision.AuthorConfig{
-		Store:  store,
-		Holder: holder,
-		Ready:  ready,
-		Guard:  func() []table.Condition { return nil },
+func newAuthor(store table.Store, holder *revision.Replica, ready func() bool) *revision.Committer {
+	return revision.NewCommitter(revision.CommitterConfig{
+		Store:   store,
+		Replica: holder,
+		Ready:   ready,
+		Guard:   func() []table.Condition { return nil },
 	})
 }
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -51,18 +51,18 @@
 func BenchmarkStatement(b *testing.B) {
 	for _, n := range []int{3, 7, 24, 48} {
 		b.Run(fmt.Sprintf("managers=%d", n), func(b *testing.B) {
-			holder := revision.NewHolder(revision.HolderConfig{})
+			holder := revision.NewReplica(revision.ReplicaConfig{})
 			var managers []revision.Member
 			for i := range n {
 				managers = append(managers, revision.Member{Name: fmt.Sprintf("manager-%d", i), Incarnation: uint64(i)})
 			}
 			now := time.Unix(0, 0)
-			holder.Read(now, managers, 0)
+			holder.ObserveRoster(now, managers, 0)
 			digest := holder.Digest()
 			b.ReportAllocs()
 			for b.Loop() {
 				said := holder.Statement(now, digest)
-				holder.Heard(now, said)
+				holder.HandleStatement(now, said)
 			}
 		})
 	}
@@ -70,10 +70,10 @@
 
 // The entry's decision on a key: copy, freshness, key.
 func BenchmarkAdmit(b *testing.B) {
-	holder := revision.NewHolder(revision.HolderConfig{})
-	holder.Offer(stateOf(1000))
+	holder := revision.NewReplica(revision.ReplicaConfig{})
+	holder.Update(stateOf(1000))
 	now := time.Unix(0, 0)
-	holder.ReadHead(now, 1)
+	holder.ObserveHead(now, 1)
 	presented := fmt.Sprintf("lk_%016x_%043d", 1, 0)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
--- a/internal/revision/holder.go
+++ b/internal/revision/holder.go
@@ -17,7 +17,7 @@
 )
 
 // HolderConfig configures a Holder.
-type HolderConfig struct {
+type ReplicaConfig struct {
 	Self Member
 	// Bound is how long a confirmation keeps the copy fresh; 0 means DefaultBound.
 	Bound time.Duration
@@ -26,8 +26,8 @@
 // Holder keeps a process's copy of the configuration and decides whether it is
 // fresh. Times come from the process's own monotonic clock. Its methods may be
 // called from any goroutine; View takes no lock.
-type Holder struct {
-	config HolderConfig
+type Replica struct {
+	config ReplicaConfig
 	view   atomic.Pointer[View]
 
 	mu    sync.Mutex
@@ -78,11 +78,11 @@
 }
 
 // NewHolder returns a holder at revision 0, which is not fresh.
-func NewHolder(config HolderConfig) *Holder {
+func NewReplica(config ReplicaConfig) *Replica {
 	if config.Bound == 0 {
 		config.Bound = DefaultBound
 	}
-	h := &Holder{
+	h := &Replica{
 		config:   config,
 		state:    Empty(),
 		managers: make(map[Member]managerFact),
@@ -93,17 +93,17 @@
 }
 
 // View returns the copy in force; it takes no lock and allocates nothing.
-func (h *Holder) View() *View {
+func (h *Replica) View() *View {
 	return h.view.Load()
 }
 
 // Fresh reports whether the copy may admit keyed work.
-func (h *Holder) Fresh(now time.Time) bool {
+func (h *Replica) Fresh(now time.Time) bool {
 	return h.View().Fresh(now)
 }
 
 // Offer takes a state that is newer than the copy, and reports whether it did.
-func (h *Holder) Offer(state State) bool {
+func (h *Replica) Update(state State) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if state.Revision <= h.state.Revision {
@@ -115,7 +115,7 @@
 
 // OfferChange applies a change that starts at the copy's revision or is whole
 // and newer, and reports whether it did.
-func (h *Holder) OfferChange(change Change) bool {
+func (h *Replica) ApplyChange(change Change) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next, ok := Apply(h.state, change)
@@ -128,7 +128,7 @@
 
 // ReadHead takes the head's revision from a read of the table that began at
 // started.
-func (h *Holder) ReadHead(started time.Time, revision uint64) {
+func (h *Replica) ObserveHead(started time.Time, revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.readHead(started, revision)
@@ -138,7 +138,7 @@
 // Read takes the managers of the roster and the head's revision. The roster
 // must be read first, at started, and the head after the roster's answer: then
 // the head includes all that a manager committed before it left the roster.
-func (h *Holder) Read(started time.Time, managers []Member, revision uint64) {
+func (h *Replica) ObserveRoster(started time.Time, managers []Member, revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.readHead(started, revision)
@@ -147,14 +147,14 @@
 	h.confirm()
 }
 
-func (h *Holder) readHead(started time.Time, revision uint64) {
+func (h *Replica) readHead(started time.Time, revision uint64) {
 	h.newest = max(h.newest, revision)
 	h.learnTable(tableFact{known: true, revision: revision, at: started})
 }
 
 // Behind reports whether a newer revision than the copy's is known to exist:
 // the owner then loads the state, or asks a peer for a whole one.
-func (h *Holder) Behind() bool {
+func (h *Replica) Behind() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.newest > h.state.Revision
@@ -162,13 +162,13 @@
 
 // Digest identifies the managers that the process knows, to be sent along with
 // a request for a statement; 0 when it knows no roster.
-func (h *Holder) Digest() uint64 {
+func (h *Replica) Digest() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.digest()
 }
 
-func (h *Holder) digest() uint64 {
+func (h *Replica) digest() uint64 {
 	if !h.knowsRoster {
 		return 0
 	}
@@ -176,7 +176,7 @@
 }
 
 // Heard takes the answer to a request for a statement that was sent at started.
-func (h *Holder) Heard(started time.Time, said Statement) {
+func (h *Replica) HandleStatement(started time.Time, said Statement) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.newest = max(h.newest, said.Revision)
@@ -185,7 +185,7 @@
 		h.learnTable(tableFact{known: true, revision: said.TableRevision, at: started.Add(-said.TableAge)})
 	}
 	if fact, ok := h.managers[said.From]; ok && (!fact.said || started.After(fact.at) || said.Final) && !fact.final {
-		fact.said, fact.clear, fact.final, fact.at = true, !said.Unsettled, said.Final && !said.Unsettled, started
+		fact.said, fact.clear, fact.final, fact.at = true, !said.Unresolved, said.Final && !said.Unresolved, started
 		h.managers[said.From] = fact
 	}
 	h.confirm()
@@ -193,14 +193,14 @@
 
 // Admit takes note of a joining manager. The manager may commit only after
 // every member of the roster, read after its own registration, has answered.
-func (h *Holder) Admit(manager Member, now time.Time) {
+func (h *Replica) AddManager(manager Member, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.learnManager(manager, now)
 }
 
 // Begin must be called before each Transaction of this process.
-func (h *Holder) Begin() {
+func (h *Replica) BeginCommit() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.unsettled++
@@ -209,7 +209,7 @@
 // Settled must be called once after Begin, when the outcome is known: with the
 // transaction's revision, or with 0 when nothing was written. After an unknown
 // outcome it is called with the result of Settle.
-func (h *Holder) Settled(revision uint64) {
+func (h *Replica) EndCommit(revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.unsettled--
@@ -217,7 +217,7 @@
 }
 
 // Finish makes this process's statements final: it commits nothing any more.
-func (h *Holder) Finish() {
+func (h *Replica) Finish() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.final = true
@@ -225,14 +225,14 @@
 
 // Statement returns what to answer a peer that asks at now; digest is the
 // peer's, or 0.
-func (h *Holder) Statement(now time.Time, digest uint64) Statement {
+func (h *Replica) Statement(now time.Time, digest uint64) Statement {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	said := Statement{
-		From:      h.config.Self,
-		Revision:  h.newest,
-		Unsettled: h.unsettled > 0,
-		Final:     h.final,
+		From:       h.config.Self,
+		Revision:   h.newest,
+		Unresolved: h.unsettled > 0,
+		Final:      h.final,
 	}
 	if h.knowsRoster && digest != h.digest() {
 		said.Managers = h.sortedManagers()
@@ -245,13 +245,13 @@
 
 // Managers returns those that the copy's freshness depends on when the table
 // is out of reach.
-func (h *Holder) Managers() []Member {
+func (h *Replica) Managers() []Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sortedManagers()
 }
 
-func (h *Holder) sortedManagers() []Member {
+func (h *Replica) sortedManagers() []Member {
 	return slices.SortedFunc(maps.Keys(h.managers), func(a, b Member) int {
 		if order := strings.Compare(a.Name, b.Name); order != 0 {
 			return order
@@ -263,7 +263,7 @@
 	})
 }
 
-func (h *Holder) advance(state State) {
+func (h *Replica) advance(state State) {
 	h.state = state
 	h.newest = max(h.newest, state.Revision)
 	h.confirm()
@@ -271,7 +271,7 @@
 
 // dropManagers forgets the managers that a read of the roster, begun at
 // started, lacks. One that was announced later may be missing in it.
-func (h *Holder) dropManagers(roster []Member, started time.Time) {
+func (h *Replica) dropManagers(roster []Member, started time.Time) {
 	for manager, fact := range h.managers {
 		if fact.learned.Before(started) && !slices.Contains(roster, manager) {
 			h.removed[manager] = started
@@ -283,7 +283,7 @@
 	})
 }
 
-func (h *Holder) learnRoster(managers []Member, now time.Time) {
+func (h *Replica) learnRoster(managers []Member, now time.Time) {
 	if len(managers) > 0 {
 		h.knowsRoster = true
 	}
@@ -292,7 +292,7 @@
 	}
 }
 
-func (h *Holder) learnManager(manager Member, now time.Time) {
+func (h *Replica) learnManager(manager Member, now time.Time) {
 	_, known := h.managers[manager]
 	_, removed := h.removed[manager]
 	if !known && !removed {
@@ -300,14 +300,14 @@
 	}
 }
 
-func (h *Holder) learnTable(fact tableFact) {
+func (h *Replica) learnTable(fact tableFact) {
 	if !h.table.known || fact.at.After(h.table.at) {
 		h.table = fact
 	}
 }
 
 // confirm moves confirmedAt forward as far as the facts allow.
-func (h *Holder) confirm() {
+func (h *Replica) confirm() {
 	if h.table.known && h.table.revision <= h.state.Revision {
 		h.confirmAt(h.table.at)
 	}
@@ -321,7 +321,7 @@
 	h.view.Store(view)
 }
 
-func (h *Holder) confirmAt(at time.Time) {
+func (h *Replica) confirmAt(at time.Time) {
 	if at.After(h.confirmedAt) {
 		h.confirmedAt = at
 	}
@@ -329,7 +329,7 @@
 
 // allManagersAt returns the earliest of the times as of which each manager had
 // nothing unsettled.
-func (h *Holder) allManagersAt() (time.Time, bool) {
+func (h *Replica) allManagersAt() (time.Time, bool) {
 	if !h.knowsRoster || h.unsettled > 0 {
 		return time.Time{}, false
 	}
--- a/internal/revision/holder_test.go
+++ b/internal/revision/holder_test.go
@@ -75,7 +75,7 @@
 
 func TestHolderMovesForwardOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		holder := revision.NewHolder(revision.HolderConfig{})
+		holder := revision.NewReplica(revision.ReplicaConfig{})
 		var want uint64
 		for range 20 {
 			change := revision.Change{
@@ -86,7 +86,7 @@
 			if change.Revision > want && (change.Whole || change.Base == want) {
 				want = change.Revision
 			}
-			holder.OfferChange(change)
+			holder.ApplyChange(change)
 			if got := holder.View().State.Revision; got != want {
 				t.Fatalf("after %+v: got revision %d, want %d", change, got, want)
 			}
--- a/internal/revision/joiner.go
+++ b/internal/revision/joiner.go
@@ -18,13 +18,13 @@
 }
 
 // Admitted takes a member's answer to the announcement.
-func (j *Joiner) Admitted(member Member) {
+func (j *Joiner) Acknowledge(member Member) {
 	delete(j.pending, member)
 }
 
 // Roster takes a later read of the roster: who has left it need not answer.
 // Members that joined in between have read this process's own registration.
-func (j *Joiner) Roster(members []Member) {
+func (j *Joiner) ApplyRoster(members []Member) {
 	present := make(map[Member]bool, len(members))
 	for _, member := range members {
 		present[member] = true
--- a/internal/revision/statement.go
+++ b/internal/revision/statement.go
@@ -30,7 +30,7 @@
 	Revision uint64 `json:"revision"`
 	// Unsettled means that the process sent a commit whose outcome it does not
 	// know: a newer revision may exist.
-	Unsettled bool `json:"unsettled,omitempty"`
+	Unresolved bool `json:"unsettled,omitempty"`
 	// Final means that the process commits nothing any more.
 	Final bool `json:"final,omitempty"`
 	// Managers are those that may commit, as far as the process knows; empty
--- a/internal/revision/transaction.go
+++ b/internal/revision/transaction.go
@@ -26,12 +26,12 @@
 
 // RaceError means that the expected revision was not the newest one. Nothing
 // was written.
-type RaceError struct {
+type StaleRevisionError struct {
 	Expected, Found uint64
 }
 
 // Error implements error.
-func (e *RaceError) Error() string {
+func (e *StaleRevisionError) Error() string {
 	return fmt.Sprintf("configuration is at revision %d, not at %d", e.Found, e.Expected)
 }
 
@@ -205,7 +205,7 @@
 
 // isStoreError reports whether err leaves open what an earlier commit did.
 func isStoreError(err error) bool {
-	var race *RaceError
+	var race *StaleRevisionError
 	var reused *ReusedError
 	return !errors.As(err, &race) && !errors.As(err, &reused)
 }
@@ -233,7 +233,7 @@
 	}
 	state := config.state
 	if op.Expected != nil && *op.Expected != state.Revision {
-		return Change{}, &RaceError{Expected: *op.Expected, Found: state.Revision}
+		return Change{}, &StaleRevisionError{Expected: *op.Expected, Found: state.Revision}
 	}
 	desired, err := edit(state)
 	if err != nil {
@@ -277,7 +277,7 @@
 // before can take effect any more: it rewrites the head row, on whose version
 // every commit is conditional. A manager calls it after a Transaction whose
 // outcome stayed unknown.
-func Settle(ctx context.Context, store table.Store) (uint64, error) {
+func Resolve(ctx context.Context, store table.Store) (uint64, error) {
 	rows, err := store.Get(ctx, headKey)
 	if err != nil {
 		return 0, err
--- a/internal/revision/transaction_test.go
+++ b/internal/revision/transaction_test.go
@@ -103,7 +103,7 @@
 func runUntilKnown(ctx context.Context, t *rapid.T, store table.Store, op revision.Operation) bool {
 	for range 1000 {
 		change, err := revision.Transaction(ctx, store, op, addLimit)
-		var race *revision.RaceError
+		var race *revision.StaleRevisionError
 		switch {
 		case err == nil:
 			again, err := revision.Transaction(ctx, store.(*brokenStore).Memory, op, addLimit)
@@ -185,7 +185,7 @@
 		op   revision.Operation
 		want any
 	}{
-		"expected revision is old": {revision.Operation{ID: "new", Expected: &old}, &revision.RaceError{Expected: 0, Found: 1}},
+		"expected revision is old": {revision.Operation{ID: "new", Expected: &old}, &revision.StaleRevisionError{Expected: 0, Found: 1}},
 		"id of another change":     {revision.Operation{ID: "first", Digest: "other"}, &revision.ReusedError{ID: "first", Revision: 1}},
 	}
 	for name, tc := range tests {
@@ -218,7 +218,7 @@
 	if _, err := revision.Transaction(ctx, store, revision.Operation{ID: "late"}, addLimit); !table.IsUnknown(err) {
 		t.Fatalf("got %v, want unknown", err)
 	}
-	got, err := revision.Settle(ctx, store.Memory)
+	got, err := revision.Resolve(ctx, store.Memory)
 	if err != nil || got != 1 {
 		t.Fatalf("got %d, %v, want revision 1", got, err)
 	}
--- a/internal/revision/world_members_test.go
+++ b/internal/revision/world_members_test.go
@@ -15,7 +15,7 @@
 		manager: slot < managerSlots,
 		alive:   true,
 	}
-	p.holder = revision.NewHolder(revision.HolderConfig{Self: p.Member})
+	p.holder = revision.NewReplica(revision.ReplicaConfig{Self: p.Member})
 	w.processes = append(w.processes, p)
 	w.register(p)
 }
@@ -56,7 +56,7 @@
 		return
 	}
 	if w.linked(p, nil) {
-		p.joiner.Roster(w.others(p))
+		p.joiner.ApplyRoster(w.others(p))
 	}
 	for _, q := range w.processes {
 		if !slices.Contains(p.joiner.Pending(), q.Member) {
@@ -66,9 +66,9 @@
 			if !q.alive {
 				return
 			}
-			q.holder.Admit(p.Member, w.now)
+			q.holder.AddManager(p.Member, w.now)
 			w.provoked["admissions"]++
-			w.send(q, p, func() { p.joiner.Admitted(q.Member) })
+			w.send(q, p, func() { p.joiner.Acknowledge(q.Member) })
 		})
 	}
 }
@@ -102,7 +102,7 @@
 		return
 	}
 	for _, q := range w.processes {
-		q.holder.Heard(w.now, revision.Statement{From: p.Member, Final: true})
+		q.holder.HandleStatement(w.now, revision.Statement{From: p.Member, Final: true})
 	}
 }
 
--- a/internal/revision/world_test.go
+++ b/internal/revision/world_test.go
@@ -26,7 +26,7 @@
 type process struct {
 	revision.Member
 	slot      int
-	holder    *revision.Holder
+	holder    *revision.Replica
 	manager   bool
 	alive     bool
 	finished  bool
@@ -209,14 +209,14 @@
 		return
 	}
 	if w.choose(2) == 0 {
-		w.readHead(p, func(head uint64) { p.holder.ReadHead(w.from(started), head) })
+		w.readHead(p, func(head uint64) { p.holder.ObserveHead(w.from(started), head) })
 		return
 	}
 	if w.broken.headFirst {
 		w.readHead(p, func(head uint64) {
 			w.send(p, nil, func() {
 				managers := w.managers()
-				w.send(nil, p, func() { p.holder.Read(started, managers, head) })
+				w.send(nil, p, func() { p.holder.ObserveRoster(started, managers, head) })
 			})
 		})
 		return
@@ -224,7 +224,7 @@
 	w.send(p, nil, func() {
 		managers := w.managers()
 		w.send(nil, p, func() {
-			w.readHead(p, func(head uint64) { p.holder.Read(w.from(started), managers, head) })
+			w.readHead(p, func(head uint64) { p.holder.ObserveRoster(w.from(started), managers, head) })
 		})
 	})
 }
@@ -260,11 +260,11 @@
 		said, copied := q.holder.Statement(w.now, digest), q.holder.View().State.Revision
 		w.send(q, p, func() {
 			if w.broken.trustUnsettled {
-				said.Unsettled = false
+				said.Unresolved = false
 			}
-			p.holder.Heard(w.from(started), said)
+			p.holder.HandleStatement(w.from(started), said)
 			if w.broken.onePeer && q.manager {
-				p.holder.ReadHead(started, said.Revision)
+				p.holder.ObserveHead(started, said.Revision)
 			}
 			w.offer(p, copied)
 		})
@@ -274,7 +274,7 @@
 func (w *world) offer(p *process, number uint64) {
 	state := revision.Empty()
 	state.Revision = number
-	p.holder.Offer(state)
+	p.holder.Update(state)
 	p.naive = number
 }
 
@@ -299,7 +299,7 @@
 	}
 	w.offer(p, w.head)
 	version := w.version
-	p.holder.Begin()
+	p.holder.BeginCommit()
 	p.inFlight = true
 	p.attempt++
 	attempt := p.attempt
@@ -328,12 +328,12 @@
 		return
 	}
 	p.inFlight = false
-	p.holder.Settled(number)
-	p.holder.OfferChange(revision.Change{Base: number - 1, Revision: number})
+	p.holder.EndCommit(number)
+	p.holder.ApplyChange(revision.Change{Base: number - 1, Revision: number})
 	p.naive = number
 	for _, q := range w.processes {
 		w.send(p, q, func() {
-			q.holder.OfferChange(revision.Change{Base: number - 1, Revision: number})
+			q.holder.ApplyChange(revision.Change{Base: number - 1, Revision: number})
 			q.naive = number
 		})
 	}
@@ -351,7 +351,7 @@
 			w.version++
 		}
 		p.uncertain = false
-		p.holder.Settled(w.head)
+		p.holder.EndCommit(w.head)
 	}
 }
 
--- a/internal/task/action.go
+++ b/internal/task/action.go
@@ -59,7 +59,7 @@
 	StartIDs []string
 	// At is when the poll was wanted. What it does not tell of an attempt that
 	// was first heard of later proves nothing.
-	At time.Time
+	IssuedAt time.Time
 }
 
 // Store puts a large result into the object store; its end goes to
--- a/internal/task/answer.go
+++ b/internal/task/answer.go
@@ -7,7 +7,7 @@
 )
 
 // Called reports how a Call ended.
-func (c *Controller) Called(now time.Time, call Call, answer Answer) {
+func (c *Controller) HandleCallResult(now time.Time, call Call, answer Answer) {
 	if c.deposed {
 		return
 	}
@@ -37,7 +37,7 @@
 }
 
 // Polled reports how a Poll ended.
-func (c *Controller) Polled(now time.Time, poll Poll, result PollResult) {
+func (c *Controller) HandlePollResult(now time.Time, poll Poll, result PollResult) {
 	known, ok := c.links[poll.Worker]
 	if c.deposed || !ok {
 		return
@@ -61,7 +61,7 @@
 			continue
 		}
 		answer, known := answers[id]
-		if !known && !it.runsAt.Before(poll.At) {
+		if !known && !it.runsAt.Before(poll.IssuedAt) {
 			continue // The start may have arrived after the poll.
 		}
 		if !known {
@@ -151,7 +151,7 @@
 func (c *Controller) takeDone(now time.Time, it *item, record Record, answer Answer) {
 	c.release(now, it, place.Succeeded)
 	record.Ran = RanYes
-	if len(answer.Result) <= c.cfg.MaxInline {
+	if len(answer.Result) <= c.cfg.MaxInlineBytes {
 		record.Result = answer.Result
 		c.end(now, it, record, Done, "")
 		return
@@ -168,7 +168,7 @@
 }
 
 // Stored reports whether a Store has been carried out.
-func (c *Controller) Stored(now time.Time, store Store, ok bool) {
+func (c *Controller) HandleStoreResult(now time.Time, store Store, ok bool) {
 	if c.deposed {
 		return
 	}
--- a/internal/task/bench_test.go
+++ b/internal/task/bench_test.go
@@ -25,7 +25,7 @@
 		s.Body = make([]byte, 200)
 		record := task.Record{
 			Spec: s, State: task.Running, Ran: task.RanYes, Attempts: 1, Submitted: now, Changed: now,
-			Attempt: &task.Attempt{Number: 1, Worker: fmt.Sprintf("worker-%02d", i%benchWorkers), Incarnation: "a", At: now},
+			Attempt: &task.Attempt{Number: 1, Worker: fmt.Sprintf("worker-%02d", i%benchWorkers), Incarnation: "a", PlacedAt: now},
 		}
 		value, err := json.Marshal(record)
 		if err != nil {
@@ -62,7 +62,7 @@
 					for _, action := range controller.Step(now) {
 						if poll, ok := action.(task.Poll); ok {
 							polls++
-							controller.Polled(now, poll, stillRunning(poll))
+							controller.HandlePollResult(now, poll, stillRunning(poll))
 						}
 					}
 				}
@@ -108,7 +108,7 @@
 func newFullShard(now time.Time, waiting int) *fullShard {
 	s := &fullShard{store: table.NewMemory(), controller: task.New(task.Config{
 		Shard: "pool-a", Epoch: 1, Fence: table.Condition{Key: "fence"}, Placer: place.New(place.Config{}),
-		CommitEvery: time.Millisecond, Retain: time.Second,
+		CommitInterval: time.Millisecond, RetentionPeriod: time.Second,
 	})}
 	for i := range benchWorkers {
 		s.controller.Join(now, place.Worker{Name: fmt.Sprintf("worker-%02d", i), Size: place.Size{CPUs: 16, Memory: 64 << 30}}, "a")
@@ -138,7 +138,7 @@
 	oldest := s.running[0]
 	s.running = s.running[1:]
 	s.ended++
-	s.controller.Called(now, oldest, task.Answer{Kind: task.AnswerDone, Incarnation: "a"})
+	s.controller.HandleCallResult(now, oldest, task.Answer{Kind: task.AnswerDone, Incarnation: "a"})
 	s.submit(now)
 }
 
@@ -147,15 +147,15 @@
 		switch action := action.(type) {
 		case task.Commit:
 			_ = s.store.Commit(context.Background(), action.Txn)
-			s.controller.Committed(now, action.Number, task.CommitApplied)
+			s.controller.HandleCommitResult(now, action.Number, task.CommitApplied)
 		case task.Read:
 			rows, _ := s.store.Get(context.Background(), action.Keys...)
-			s.controller.Read(now, action.Number, rows, true)
+			s.controller.HandleReadResult(now, action.Number, rows, true)
 		case task.Call:
 			s.running = append(s.running, action)
-			s.controller.Called(now, action, task.Answer{Kind: task.AnswerRunning, Incarnation: "a"})
+			s.controller.HandleCallResult(now, action, task.Answer{Kind: task.AnswerRunning, Incarnation: "a"})
 		case task.Poll:
-			s.controller.Polled(now, action, stillRunning(action))
+			s.controller.HandlePollResult(now, action, stillRunning(action))
 		}
 	}
 }
--- a/internal/task/commit.go
+++ b/internal/task/commit.go
@@ -61,11 +61,11 @@
 	}
 	c.batches++
 	c.batch = &batch{number: c.batches, items: items}
-	earliest := now.Add(-commitBurst * c.cfg.CommitEvery)
+	earliest := now.Add(-commitBurst * c.cfg.CommitInterval)
 	if c.commitAt.Before(earliest) {
 		c.commitAt = earliest
 	}
-	c.commitAt = c.commitAt.Add(c.cfg.CommitEvery)
+	c.commitAt = c.commitAt.Add(c.cfg.CommitInterval)
 	c.emit(Commit{Number: c.batches, Txn: txn})
 }
 
@@ -92,7 +92,7 @@
 }
 
 // Committed reports how a Commit ended.
-func (c *Controller) Committed(now time.Time, number uint64, result CommitResult) {
+func (c *Controller) HandleCommitResult(now time.Time, number uint64, result CommitResult) {
 	if c.deposed || c.batch == nil || c.batch.number != number || c.batch.settle {
 		return
 	}
@@ -168,7 +168,7 @@
 
 // Read reports the rows that a Read asked for, in the order of its keys; ok is
 // false if they could not be read.
-func (c *Controller) Read(now time.Time, number uint64, rows []table.Row, ok bool) {
+func (c *Controller) HandleReadResult(now time.Time, number uint64, rows []table.Row, ok bool) {
 	if c.deposed || c.batch == nil || c.batch.number != number || !c.batch.reading {
 		return
 	}
--- a/internal/task/controller.go
+++ b/internal/task/controller.go
@@ -66,15 +66,15 @@
 	RetryAfter time.Duration
 	// CommitEvery is the mean time between transactions of up to 100 rows; a few
 	// may follow each other at once.
-	CommitEvery time.Duration
+	CommitInterval time.Duration
 	// Retain is how long the row of an ended task is kept.
-	Retain time.Duration
+	RetentionPeriod time.Duration
 	// MaxWorkers is the number of workers on which a task may fail.
-	MaxWorkers int
+	MaxFailedWorkers int
 	// MaxFailures is the number of failures of a task on any workers.
 	MaxFailures int
 	// MaxInline bounds the bytes of a body or a result in a row.
-	MaxInline int
+	MaxInlineBytes int
 }
 
 const (
@@ -93,11 +93,11 @@
 func (c Config) withDefaults() Config {
 	c.Lease = orDefault(c.Lease, defaultLease)
 	c.RetryAfter = orDefault(c.RetryAfter, defaultRetryAfter)
-	c.CommitEvery = orDefault(c.CommitEvery, defaultCommitEvery)
-	c.Retain = orDefault(c.Retain, defaultRetain)
-	c.MaxWorkers = orDefault(c.MaxWorkers, defaultMaxWorkers)
+	c.CommitInterval = orDefault(c.CommitInterval, defaultCommitEvery)
+	c.RetentionPeriod = orDefault(c.RetentionPeriod, defaultRetain)
+	c.MaxFailedWorkers = orDefault(c.MaxFailedWorkers, defaultMaxWorkers)
 	c.MaxFailures = orDefault(c.MaxFailures, defaultMaxFailures)
-	c.MaxInline = orDefault(c.MaxInline, defaultMaxInline)
+	c.MaxInlineBytes = orDefault(c.MaxInlineBytes, defaultMaxInline)
 	return c
 }
 
@@ -115,11 +115,11 @@
 	cfg     Config
 	items   map[string]*item
 	lanes   map[place.Class]*laneSet
-	running map[LaneKey]int
-	open    map[LaneKey]int
+	running map[TeamQueue]int
+	open    map[TeamQueue]int
 	// heldAt counts the attempts on each worker that may run or be started there.
 	heldAt   map[string]int
-	limits   map[LaneKey]Limit
+	limits   map[TeamQueue]Limit
 	links    map[string]*link
 	names    []string
 	timers   timerHeap
@@ -184,8 +184,8 @@
 		cfg:     cfg.withDefaults(),
 		items:   make(map[string]*item),
 		lanes:   make(map[place.Class]*laneSet),
-		running: make(map[LaneKey]int),
-		open:    make(map[LaneKey]int),
+		running: make(map[TeamQueue]int),
+		open:    make(map[TeamQueue]int),
 		heldAt:  make(map[string]int),
 		links:   make(map[string]*link),
 		dirty:   make([][]*item, len(place.Classes())),
@@ -230,7 +230,7 @@
 
 // Deposed reports whether another manager has taken the shard over. Every
 // request that was open has then been answered, and Step does nothing more.
-func (c *Controller) Deposed() bool {
+func (c *Controller) Superseded() bool {
 	return c.deposed
 }
 
--- a/internal/task/controller_test.go
+++ b/internal/task/controller_test.go
@@ -61,7 +61,7 @@
 		"queue full": {
 			spec: spec("a", place.Normal, 1), want: task.Refused, wantReason: task.ReasonQueueFull, wantRetry: true,
 			prepare: func(w *world) {
-				w.current().controller.SetLimits(map[task.LaneKey]task.Limit{{Queue: queue, Team: "reef"}: {MaxOpen: 1}})
+				w.current().controller.SetLimits(map[task.TeamQueue]task.Limit{{Queue: queue, Team: "reef"}: {MaxOpen: 1}})
 				w.submitSpec(spec("b", place.Normal, 1))
 			},
 		},
@@ -189,7 +189,7 @@
 // TestLanesShare wants two teams of one queue to run by their weights.
 func TestLanesShare(t *testing.T) {
 	w := newWorld(calm{}, mutantNone)
-	w.current().controller.SetLimits(map[task.LaneKey]task.Limit{
+	w.current().controller.SetLimits(map[task.TeamQueue]task.Limit{
 		{Queue: queue, Team: "reef"}: {Weight: 3},
 		{Queue: queue, Team: "tide"}: {Weight: 1},
 	})
@@ -230,7 +230,7 @@
 	answer := task.Answer{Kind: task.AnswerDone, Incarnation: record.Attempt.Incarnation, Result: make([]byte, 5000)}
 	controller := w.current().controller
 	for _, stored := range []bool{false, true} {
-		controller.Called(w.now, call, answer)
+		controller.HandleCallResult(w.now, call, answer)
 		var store *task.Store
 		for _, action := range controller.Step(w.now) {
 			if found, ok := action.(task.Store); ok {
@@ -240,7 +240,7 @@
 		if store == nil {
 			t.Fatal("store: got none, want one")
 		}
-		controller.Stored(w.now, *store, stored)
+		controller.HandleStoreResult(w.now, *store, stored)
 	}
 	w.settle(50*time.Millisecond, 20)
 	record, _ = controller.Task(queue, "a")
@@ -293,7 +293,7 @@
 		t.Fatalf("tasks that run: got %d, want %d", want, tasks)
 	}
 	got := 0
-	for _, lane := range w.current().controller.Dump().Lanes {
+	for _, lane := range w.current().controller.Dump().TeamQueues {
 		got += lane.Running
 	}
 	if got != want {
--- a/internal/task/dump.go
+++ b/internal/task/dump.go
@@ -22,8 +22,8 @@
 }
 
 // LaneState is one team's part of a queue as the dump shows it.
-type LaneState struct {
-	LaneKey
+type TeamQueueState struct {
+	TeamQueue
 	Class   place.Class `json:"class"`
 	Waiting int         `json:"waiting"`
 	Running int         `json:"running"`
@@ -31,30 +31,30 @@
 
 // Dump is the controller's whole state, in a stable order.
 type Dump struct {
-	Shard     string      `json:"shard"`
-	Epoch     uint64      `json:"epoch"`
-	Deposed   bool        `json:"deposed"`
-	Unsettled int         `json:"unsettled-rows"`
-	Unwritten int         `json:"unwritten-rows"`
-	Lanes     []LaneState `json:"lanes"`
-	Tasks     []Summary   `json:"tasks"`
+	Shard            string           `json:"shard"`
+	Epoch            uint64           `json:"epoch"`
+	Superseded       bool             `json:"deposed"`
+	UnresolvedWrites int              `json:"unsettled-rows"`
+	PendingWrites    int              `json:"unwritten-rows"`
+	TeamQueues       []TeamQueueState `json:"lanes"`
+	Tasks            []Summary        `json:"tasks"`
 }
 
 // Dump returns the state; ended tasks are left out.
 func (c *Controller) Dump() Dump {
-	dump := Dump{Shard: c.cfg.Shard, Epoch: c.cfg.Epoch, Deposed: c.deposed, Lanes: []LaneState{}, Tasks: []Summary{}}
+	dump := Dump{Shard: c.cfg.Shard, Epoch: c.cfg.Epoch, Superseded: c.deposed, TeamQueues: []TeamQueueState{}, Tasks: []Summary{}}
 	if c.batch != nil {
-		dump.Unsettled = len(c.batch.items)
+		dump.UnresolvedWrites = len(c.batch.items)
 	}
 	for rank, class := range place.Classes() {
-		dump.Unwritten += len(c.dirty[rank])
+		dump.PendingWrites += len(c.dirty[rank])
 		for _, key := range c.lanes[class].keys {
-			dump.Lanes = append(dump.Lanes, LaneState{
-				LaneKey: key, Class: class, Waiting: c.lanes[class].len(key), Running: c.running[key],
+			dump.TeamQueues = append(dump.TeamQueues, TeamQueueState{
+				TeamQueue: key, Class: class, Waiting: c.lanes[class].len(key), Running: c.running[key],
 			})
 		}
 	}
-	dump.Lanes = append(dump.Lanes, c.runningLanes(dump.Lanes)...)
+	dump.TeamQueues = append(dump.TeamQueues, c.runningLanes(dump.TeamQueues)...)
 	for _, name := range sortedNames(c.items) {
 		it := c.items[name]
 		if it.record.State.Final() {
@@ -77,15 +77,15 @@
 
 // runningLanes returns the lanes in which tasks run and none waits, which the
 // waiting lanes leave out.
-func (c *Controller) runningLanes(listed []LaneState) []LaneState {
-	known := make(map[LaneKey]bool, len(listed))
+func (c *Controller) runningLanes(listed []TeamQueueState) []TeamQueueState {
+	known := make(map[TeamQueue]bool, len(listed))
 	for _, lane := range listed {
-		known[lane.LaneKey] = true
+		known[lane.TeamQueue] = true
 	}
-	var lanes []LaneState
+	var lanes []TeamQueueState
 	for _, key := range slices.SortedFunc(maps.Keys(c.running), compareLanes) {
 		if !known[key] {
-			lanes = append(lanes, LaneState{LaneKey: key, Running: c.running[key]})
+			lanes = append(lanes, TeamQueueState{TeamQueue: key, Running: c.running[key]})
 		}
 	}
 	return lanes
--- a/internal/task/election.go
+++ b/internal/task/election.go
@@ -25,7 +25,7 @@
 	Holder string
 	// Patience is how long a heartbeat may stand still before a candidate
 	// claims the shard.
-	Patience time.Duration
+	HeartbeatTimeout time.Duration
 }
 
 // Election decides when a process claims a shard. A wrong guess costs a change
@@ -47,7 +47,7 @@
 }
 
 // Unseen forgets how long the heartbeat stood still, for it could not be read.
-func (e *Election) Unseen() {
+func (e *Election) ResetTimeout() {
 	e.since = time.Time{}
 }
 
@@ -62,7 +62,7 @@
 	var last beat
 	released := heart.Version != table.Absent && json.Unmarshal(heart.Value, &last) == nil && last.Released
 	free := fence.Version == table.Absent || released
-	if !free && now.Sub(e.since) < e.cfg.Patience {
+	if !free && now.Sub(e.since) < e.cfg.HeartbeatTimeout {
 		return table.Txn{}, false
 	}
 	claim := Claim{Holder: e.cfg.Holder, Epoch: claimOf(fence).Epoch + 1}
@@ -87,13 +87,13 @@
 }
 
 // Current is the last claim that the rows show.
-func (e *Election) Current(rows []table.Row) Claim {
+func (e *Election) CurrentClaim(rows []table.Row) Claim {
 	return claimOf(rows[0])
 }
 
 // Beat is the heartbeat that a holder commits, at several times the rate that
 // the others' patience asks for; with release, others may claim at once.
-func (e *Election) Beat(fence table.Condition, release bool) table.Txn {
+func (e *Election) Heartbeat(fence table.Condition, release bool) table.Txn {
 	return table.Txn{
 		Conditions: []table.Condition{fence},
 		Writes:     []table.Write{{Key: e.Keys()[1], Value: encode(beat{Released: release})}},
--- a/internal/task/election_test.go
+++ b/internal/task/election_test.go
@@ -25,7 +25,7 @@
 	r := &race{t: t, store: table.NewMemory(), now: time.Unix(1, 0), holders: map[uint64]int{}}
 	for i := range 3 {
 		r.candidates = append(r.candidates, task.NewElection(task.ElectionConfig{
-			Shard: "pool-a", Holder: fmt.Sprint("manager-", i), Patience: 10 * time.Second,
+			Shard: "pool-a", Holder: fmt.Sprint("manager-", i), HeartbeatTimeout: 10 * time.Second,
 		}))
 	}
 	return r
@@ -63,7 +63,7 @@
 		r.t.Fatalf("epoch %d: got holders %d and %d, want one", epoch, holder, i)
 	}
 	r.holders[epoch] = i
-	if err := r.store.Commit(context.Background(), r.candidates[i].Beat(fence, release)); err != nil {
+	if err := r.store.Commit(context.Background(), r.candidates[i].Heartbeat(fence, release)); err != nil {
 		r.t.Fatalf("beat of the holder: got %v, want no error", err)
 	}
 }
--- a/internal/task/life.go
+++ b/internal/task/life.go
@@ -42,7 +42,7 @@
 	if it.next != nil {
 		return
 	}
-	expires := it.record.Changed.Add(c.cfg.Retain)
+	expires := it.record.Changed.Add(c.cfg.RetentionPeriod)
 	if now.Before(expires) {
 		c.wake(it, expires)
 		return
@@ -164,7 +164,7 @@
 	failures := append([]Failure{}, record.Failures...)
 	record.Failures = append(failures, Failure{Worker: record.Attempt.Worker, Reason: reason})
 	workers := len(failedWorkers(record.Failures))
-	if workers >= c.cfg.MaxWorkers || len(record.Failures) >= c.cfg.MaxFailures {
+	if workers >= c.cfg.MaxFailedWorkers || len(record.Failures) >= c.cfg.MaxFailures {
 		c.end(now, it, record, GivenUp, ReasonTooManyFailures+": "+reason)
 		return
 	}
--- a/internal/task/link.go
+++ b/internal/task/link.go
@@ -102,7 +102,7 @@
 
 // Held is the number of attempts that may run or be started on the worker. Once
 // it is 0 for a worker that was told to leave, it stays so under this epoch.
-func (c *Controller) Held(worker string) int {
+func (c *Controller) ActiveAttempts(worker string) int {
 	return c.heldAt[worker]
 }
 
@@ -191,14 +191,14 @@
 				continue
 			}
 			ids = append(ids, it.record.StartID())
-			interval = min(interval, now.Sub(it.record.Attempt.At)/pollFraction)
+			interval = min(interval, now.Sub(it.record.Attempt.PlacedAt)/pollFraction)
 		}
 		if len(ids) == 0 {
 			continue
 		}
 		known.pollAt = now.Add(max(interval, shortestPoll))
 		known.outstanding = true
-		c.emit(Poll{Worker: name, Epoch: c.cfg.Epoch, Lease: c.cfg.Lease, StartIDs: ids, At: now})
+		c.emit(Poll{Worker: name, Epoch: c.cfg.Epoch, Lease: c.cfg.Lease, StartIDs: ids, IssuedAt: now})
 	}
 }
 
--- a/internal/task/record.go
+++ b/internal/task/record.go
@@ -91,7 +91,7 @@
 	Worker      string    `json:"worker"`
 	Incarnation string    `json:"incarnation"`
 	Epoch       uint64    `json:"epoch"`
-	At          time.Time `json:"at"`
+	PlacedAt    time.Time `json:"at"`
 }
 
 // Failure is an attempt that did not end well.
--- a/internal/task/runner/calls.go
+++ b/internal/task/runner/calls.go
@@ -20,7 +20,7 @@
 		status, err := r.order(ctx, address, call)
 		answer = newAnswer(status, err)
 	}
-	r.step(func(c *task.Controller, now time.Time) { c.Called(now, call, answer) })
+	r.step(func(c *task.Controller, now time.Time) { c.HandleCallResult(now, call, answer) })
 }
 
 // address is where a worker was last listed.
@@ -82,7 +82,7 @@
 		})
 		result = newPollResult(renewed, err)
 	}
-	r.step(func(c *task.Controller, now time.Time) { c.Polled(now, poll, result) })
+	r.step(func(c *task.Controller, now time.Time) { c.HandlePollResult(now, poll, result) })
 }
 
 // newPollResult maps the end of a renewal.
--- a/internal/task/runner/reign.go
+++ b/internal/task/runner/reign.go
@@ -85,7 +85,7 @@
 func (r *reign) drained(worker string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leaving[worker] && r.controller.Held(worker) == 0
+	return r.leaving[worker] && r.controller.ActiveAttempts(worker) == 0
 }
 
 // isLeaving reports whether the worker must get nothing new.
@@ -112,7 +112,7 @@
 
 // run carries out the controller's actions until it is deposed or ctx ends.
 func (r *reign) run(ctx context.Context) {
-	ticker := time.NewTicker(r.cfg.Tick)
+	ticker := time.NewTicker(r.cfg.StepInterval)
 	defer ticker.Stop()
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -153,7 +153,7 @@
 		r.calls++
 		group.Go(func() { r.carryOut(ctx, action) })
 	}
-	return r.controller.Deposed()
+	return r.controller.Superseded()
 }
 
 // carryOut carries out one call to a worker or to the object store.
@@ -166,7 +166,7 @@
 		r.poll(ctx, action)
 	case task.Store:
 		err := r.cfg.Objects.PutObject(ctx, action.Name, action.Data)
-		r.step(func(c *task.Controller, now time.Time) { c.Stored(now, action, err == nil) })
+		r.step(func(c *task.Controller, now time.Time) { c.HandleStoreResult(now, action, err == nil) })
 	}
 }
 
@@ -174,7 +174,7 @@
 func (r *reign) commit(ctx context.Context, action task.Commit) {
 	err := r.cfg.Store.Commit(ctx, withCharges(action.Txn))
 	result := commitResult(err)
-	r.step(func(c *task.Controller, now time.Time) { c.Committed(now, action.Number, result) })
+	r.step(func(c *task.Controller, now time.Time) { c.HandleCommitResult(now, action.Number, result) })
 }
 
 // commitResult maps the errors of table.Store.
@@ -194,7 +194,7 @@
 // read reads rows.
 func (r *reign) read(ctx context.Context, action task.Read) {
 	rows, err := r.cfg.Store.Get(ctx, action.Keys...)
-	r.step(func(c *task.Controller, now time.Time) { c.Read(now, action.Number, rows, err == nil) })
+	r.step(func(c *task.Controller, now time.Time) { c.HandleReadResult(now, action.Number, rows, err == nil) })
 }
 
 // ask makes a request and waits for its reply.
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -80,13 +80,13 @@
 	Workers Workers
 	Log     *log.Logger
 	// Patience is how long a silent holder keeps the shard.
-	Patience time.Duration
+	HeartbeatTimeout time.Duration
 	// ListLag is the most that the host list lags behind the truth.
-	ListLag time.Duration
-	Tick    time.Duration
+	ListLag      time.Duration
+	StepInterval time.Duration
 	// Handicap, if set, is how long to let others claim a free shard first; it
 	// should grow with the number of shards that this process holds.
-	Handicap func() time.Duration
+	ClaimDelay func() time.Duration
 	// Task is handed to the controller; shard, epoch, fence and placer are set.
 	Task task.Config
 }
@@ -98,24 +98,24 @@
 
 	mu     sync.Mutex
 	reign  *reign
-	limits map[task.LaneKey]task.Limit
+	limits map[task.TeamQueue]task.Limit
 	// leaving are the workers that must get nothing new.
 	leaving map[string]bool
 }
 
 // New returns a runner that does nothing until Run.
 func New(cfg Config) *Runner {
-	if cfg.Patience == 0 {
-		cfg.Patience = defaultPatience
+	if cfg.HeartbeatTimeout == 0 {
+		cfg.HeartbeatTimeout = defaultPatience
 	}
 	if cfg.ListLag == 0 {
 		cfg.ListLag = defaultListLag
 	}
-	if cfg.Tick == 0 {
-		cfg.Tick = defaultTick
+	if cfg.StepInterval == 0 {
+		cfg.StepInterval = defaultTick
 	}
 	return &Runner{cfg: cfg, election: task.NewElection(task.ElectionConfig{
-		Shard: cfg.Shard, Holder: cfg.Holder, Patience: cfg.Patience,
+		Shard: cfg.Shard, Holder: cfg.Holder, HeartbeatTimeout: cfg.HeartbeatTimeout,
 	})}
 }
 
@@ -124,7 +124,7 @@
 	for ctx.Err() == nil {
 		fence, epoch, won := r.campaign(ctx)
 		if !won {
-			r.pause(ctx, r.cfg.Patience/beatsInPatience)
+			r.pause(ctx, r.cfg.HeartbeatTimeout/beatsInPatience)
 			continue
 		}
 		r.cfg.Log.Info("shard taken over", "shard", r.cfg.Shard, "epoch", epoch)
@@ -148,16 +148,16 @@
 func (r *Runner) campaign(ctx context.Context) (table.Condition, uint64, bool) {
 	rows, err := r.cfg.Store.Get(ctx, r.election.Keys()...)
 	if err != nil {
-		r.election.Unseen()
+		r.election.ResetTimeout()
 		return table.Condition{}, 0, false
 	}
 	txn, claims := r.election.Observe(time.Now(), rows)
 	if !claims {
 		return table.Condition{}, 0, false
 	}
-	if r.cfg.Handicap != nil {
+	if r.cfg.ClaimDelay != nil {
 		// A claim that another made meanwhile makes this one's conditions fail.
-		r.pause(ctx, r.cfg.Handicap())
+		r.pause(ctx, r.cfg.ClaimDelay())
 	}
 	if err := r.cfg.Store.Commit(ctx, txn); err != nil && !table.IsUnknown(err) {
 		return table.Condition{}, 0, false
@@ -203,14 +203,14 @@
 // heartbeat that fails otherwise is followed by the next.
 func (r *Runner) beat(ctx context.Context, fence table.Condition) {
 	for ctx.Err() == nil {
-		err := r.cfg.Store.Commit(ctx, r.election.Beat(fence, false))
+		err := r.cfg.Store.Commit(ctx, r.election.Heartbeat(fence, false))
 		if table.IsConflict(err) {
 			return
 		}
 		if err != nil && ctx.Err() == nil {
 			r.cfg.Log.Warn("heartbeat failed", "shard", r.cfg.Shard, "error", err.Error())
 		}
-		r.pause(ctx, r.cfg.Patience/beatsInPatience)
+		r.pause(ctx, r.cfg.HeartbeatTimeout/beatsInPatience)
 	}
 }
 
@@ -218,7 +218,7 @@
 // patience.
 func (r *Runner) release(ctx context.Context, fence table.Condition) {
 	ctx = context.WithoutCancel(ctx)
-	_ = r.cfg.Store.Commit(ctx, r.election.Beat(fence, true))
+	_ = r.cfg.Store.Commit(ctx, r.election.Heartbeat(fence, true))
 }
 
 // current returns the present reign.
@@ -259,7 +259,7 @@
 	if err != nil {
 		return task.Claim{}, err
 	}
-	return r.election.Current(rows), nil
+	return r.election.CurrentClaim(rows), nil
 }
 
 // Task returns a task's row, whoever manages the shard.
@@ -273,7 +273,7 @@
 }
 
 // SetLimits replaces the limits of this and later reigns.
-func (r *Runner) SetLimits(limits map[task.LaneKey]task.Limit) {
+func (r *Runner) SetLimits(limits map[task.TeamQueue]task.Limit) {
 	r.mu.Lock()
 	r.limits = maps.Clone(limits)
 	current := r.reign
@@ -321,7 +321,7 @@
 func (r *Runner) Dump() Dump {
 	current, err := r.current()
 	if err != nil {
-		return Dump{Dump: task.Dump{Shard: r.cfg.Shard, Deposed: true}}
+		return Dump{Dump: task.Dump{Shard: r.cfg.Shard, Superseded: true}}
 	}
 	return current.dump()
 }
--- a/internal/task/runner/runner_test.go
+++ b/internal/task/runner/runner_test.go
@@ -80,8 +80,8 @@
 	r := runner.New(runner.Config{
 		Shard: pool, Pool: pool, Queues: []string{"plans"}, Holder: name,
 		Store: client, Objects: client, Hosts: client, Workers: calls,
-		Log: log.New(io.Discard), Patience: patience, ListLag: time.Second, Tick: 10 * time.Millisecond,
-		Task: task.Config{CommitEvery: 20 * time.Millisecond, RetryAfter: 100 * time.Millisecond},
+		Log: log.New(io.Discard), HeartbeatTimeout: patience, ListLag: time.Second, StepInterval: 10 * time.Millisecond,
+		Task: task.Config{CommitInterval: 20 * time.Millisecond, RetryAfter: 100 * time.Millisecond},
 	})
 	ctx, stop := context.WithCancel(b.ctx)
 	done := make(chan error, 1)
@@ -197,7 +197,7 @@
 	b.t.Helper()
 	for b.ctx.Err() == nil {
 		for i, r := range b.runners {
-			if !r.Dump().Deposed {
+			if !r.Dump().Superseded {
 				return i
 			}
 		}
--- a/internal/task/schedule.go
+++ b/internal/task/schedule.go
@@ -19,7 +19,7 @@
 )
 
 // LaneKey names one team's tasks of one queue.
-type LaneKey struct {
+type TeamQueue struct {
 	Queue string `json:"queue"`
 	Team  string `json:"team"`
 }
@@ -28,7 +28,7 @@
 // and a weight of 1.
 type Limit struct {
 	// Running is the greatest number of tasks that are placed or running.
-	Running int
+	MaxRunning int
 	// Closed lets no further task start, whatever Running says.
 	Closed  bool
 	MaxOpen int
@@ -37,13 +37,13 @@
 }
 
 // SetLimits replaces the limits in force. Lowering one cuts nothing that runs.
-func (c *Controller) SetLimits(limits map[LaneKey]Limit) {
+func (c *Controller) SetLimits(limits map[TeamQueue]Limit) {
 	c.limits = limits
 	c.scheduleAt = time.Time{}
 }
 
 // limit returns a lane's limit with its defaults.
-func (c *Controller) limit(key LaneKey) Limit {
+func (c *Controller) limit(key TeamQueue) Limit {
 	limit := c.limits[key]
 	limit.MaxOpen = orDefault(limit.MaxOpen, defaultMaxOpen)
 	limit.Weight = orDefault(limit.Weight, 1)
@@ -51,23 +51,23 @@
 }
 
 // laneKey is the lane of a record.
-func laneKey(record Record) LaneKey {
-	return LaneKey{Queue: record.Queue, Team: record.Team}
+func laneKey(record Record) TeamQueue {
+	return TeamQueue{Queue: record.Queue, Team: record.Team}
 }
 
 // laneSet holds the waiting tasks of one class by lane.
 type laneSet struct {
-	lanes map[LaneKey][]*item
-	keys  []LaneKey
+	lanes map[TeamQueue][]*item
+	keys  []TeamQueue
 }
 
 // newLaneSet returns an empty set.
 func newLaneSet() *laneSet {
-	return &laneSet{lanes: make(map[LaneKey][]*item)}
+	return &laneSet{lanes: make(map[TeamQueue][]*item)}
 }
 
 // add appends an item to its lane.
-func (s *laneSet) add(key LaneKey, it *item) {
+func (s *laneSet) add(key TeamQueue, it *item) {
 	if _, known := s.lanes[key]; !known {
 		at, _ := slices.BinarySearchFunc(s.keys, key, compareLanes)
 		s.keys = slices.Insert(s.keys, at, key)
@@ -76,13 +76,13 @@
 }
 
 // len is the number of tasks in a lane.
-func (s *laneSet) len(key LaneKey) int {
+func (s *laneSet) len(key TeamQueue) int {
 	return len(s.lanes[key])
 }
 
 // head returns the next items of a lane, all of which wait. It drops those that
 // wait no more, and the lane if it is empty.
-func (s *laneSet) head(key LaneKey) []*item {
+func (s *laneSet) head(key TeamQueue) []*item {
 	lane := s.lanes[key]
 	for len(lane) > 0 && lane[0].left() {
 		lane = lane[1:]
@@ -109,7 +109,7 @@
 }
 
 // compareLanes orders lanes by queue and team.
-func compareLanes(a, b LaneKey) int {
+func compareLanes(a, b TeamQueue) int {
 	if order := strings.Compare(a.Queue, b.Queue); order != 0 {
 		return order
 	}
@@ -151,7 +151,7 @@
 }
 
 // leastServed returns the index of the lane that runs least for its weight.
-func (c *Controller) leastServed(open []LaneKey) int {
+func (c *Controller) leastServed(open []TeamQueue) int {
 	least := 0
 	for i, key := range open {
 		if c.served(key) < c.served(open[least]) {
@@ -162,14 +162,14 @@
 }
 
 // served is what a lane runs for its weight.
-func (c *Controller) served(key LaneKey) float64 {
+func (c *Controller) served(key TeamQueue) float64 {
 	return float64(c.running[key]) / c.limit(key).Weight
 }
 
 // placeOne places the first of the lane's next tasks that finds a worker.
-func (c *Controller) placeOne(now time.Time, set *laneSet, key LaneKey) bool {
+func (c *Controller) placeOne(now time.Time, set *laneSet, key TeamQueue) bool {
 	limit := c.limit(key)
-	if limit.Closed || limit.Running > 0 && c.running[key] >= limit.Running {
+	if limit.Closed || limit.MaxRunning > 0 && c.running[key] >= limit.MaxRunning {
 		return false
 	}
 	for _, it := range set.head(key) {
@@ -210,7 +210,7 @@
 		Worker:      decision.Worker,
 		Incarnation: worker.incarnation,
 		Epoch:       c.cfg.Epoch,
-		At:          now,
+		PlacedAt:    now,
 	}
 	c.hold(now, it, record)
 	c.propose(now, it, record)
--- a/internal/task/submit.go
+++ b/internal/task/submit.go
@@ -52,7 +52,7 @@
 
 // refusal is the reason for which the task is not taken, if there is one.
 func (c *Controller) refusal(spec Spec) (reason string, retryAfter time.Duration) {
-	if len(spec.Body) > c.cfg.MaxInline {
+	if len(spec.Body) > c.cfg.MaxInlineBytes {
 		return ReasonBodyTooLarge, 0
 	}
 	fits, known := c.cfg.Placer.Fits(spec.Size)
@@ -62,7 +62,7 @@
 	if !fits {
 		return ReasonFitsNoWorker, 0
 	}
-	key := LaneKey{Queue: spec.Queue, Team: spec.Team}
+	key := TeamQueue{Queue: spec.Queue, Team: spec.Team}
 	open := c.open[key]
 	if open >= c.limit(key).MaxOpen {
 		return ReasonQueueFull, c.retryAfter(key, spec, open)
@@ -72,7 +72,7 @@
 
 // retryAfter estimates when a place in a full queue will be free: each running
 // task frees one when it ends.
-func (c *Controller) retryAfter(key LaneKey, spec Spec, open int) time.Duration {
+func (c *Controller) retryAfter(key TeamQueue, spec Spec, open int) time.Duration {
 	each := c.cfg.Placer.ExpectedRunTime(spec.Queue, spec.RunTime.Duration)
 	excess := 1 + open - c.limit(key).MaxOpen
 	wait := each * time.Duration(excess) / time.Duration(max(1, c.running[key]))
--- a/internal/task/world_test.go
+++ b/internal/task/world_test.go
@@ -105,9 +105,9 @@
 	fence := table.Condition{Key: fenceKey, Version: rows[0].Version}
 	m := &manager{epoch: w.epoch, fence: fence.Version, controller: task.New(task.Config{
 		Shard: "pool-a", Epoch: w.epoch, Fence: fence, Placer: place.New(place.Config{}),
-		Lease: 30 * time.Second, CommitEvery: 10 * time.Millisecond, Retain: 1000 * time.Hour,
+		Lease: 30 * time.Second, CommitInterval: 10 * time.Millisecond, RetentionPeriod: 1000 * time.Hour,
 	})}
-	m.controller.SetLimits(map[task.LaneKey]task.Limit{{Queue: queue, Team: "reef"}: {Running: laneLimit}})
+	m.controller.SetLimits(map[task.TeamQueue]task.Limit{{Queue: queue, Team: "reef"}: {MaxRunning: laneLimit}})
 	rows, _ = w.store.Scan(ctx, task.Prefix(queue))
 	if broken := m.controller.Load(w.now, rows); len(broken) > 0 {
 		w.violate("rows %v do not load", broken)
@@ -149,21 +149,21 @@
 	switch action := action.(type) {
 	case task.Commit:
 		result := w.commit(action.Txn)
-		w.tell(func() { m.controller.Committed(w.now, action.Number, result) })
+		w.tell(func() { m.controller.HandleCommitResult(w.now, action.Number, result) })
 	case task.Read:
 		rows, err := w.store.Get(context.Background(), action.Keys...)
-		w.tell(func() { m.controller.Read(w.now, action.Number, rows, err == nil) })
+		w.tell(func() { m.controller.HandleReadResult(w.now, action.Number, rows, err == nil) })
 	case task.Call:
 		answer := w.call(action)
-		w.tell(func() { m.controller.Called(w.now, action, answer) })
+		w.tell(func() { m.controller.HandleCallResult(w.now, action, answer) })
 	case task.Poll:
 		result := w.poll(action)
 		if w.mutant == mutantLatePoll {
-			action.At = w.now.Add(time.Hour)
+			action.IssuedAt = w.now.Add(time.Hour)
 		}
-		w.tell(func() { m.controller.Polled(w.now, action, result) })
+		w.tell(func() { m.controller.HandlePollResult(w.now, action, result) })
 	case task.Store:
-		m.controller.Stored(w.now, action, !w.down)
+		m.controller.HandleStoreResult(w.now, action, !w.down)
 	case task.Reply:
 		w.takeReply(action)
 	}
