--- a/internal/fleet/reply.go
+++ b/internal/fleet/reply.go
@@ -17,7 +17,7 @@
 	if r == nil {
 		return reply.Outcome != OrderFenced
 	}
-	l.logReply("start not confirmed by the endpoint", r, reply)
+	l.logReply("start answered", r, reply)
 	switch reply.Outcome {
 	case OrderAccepted:
 		l.startAccepted(r, now)
@@ -90,7 +90,7 @@
 	if r == nil {
 		return reply.Outcome != OrderFenced
 	}
-	l.logReply("stop not confirmed by the endpoint", r, reply)
+	l.logReply("stop answered", r, reply)
 	switch reply.Outcome {
 	case OrderFenced:
 		return false
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -101,7 +101,7 @@
 		return
 	}
 	g.step.waitLoggedAt = now
-	cause := "no endpoint has enough free capacity"
+	cause := "no endpoint has room"
 	switch {
 	case !l.underCap(g.job.submission.Account, g.step.step.Resources, 1):
 		cause = "the client account is at its cap"
