--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -8,7 +8,7 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// admission is the slot and the permit under which a request runs.
+// admission is the slot and the permit that a request holds while it runs.
 type admission struct {
 	service *service
 	permits *permits
@@ -16,60 +16,61 @@
 	team    string
 }
 
-// admit waits for a slot of the service and a permit of the team, and refuses
-// as soon as it is clear that one of them will come too late.
+// admit acquires a slot of the service and a permit of the team. It refuses the
+// request as soon as one of them cannot be had in time.
 func (e *Entry) admit(c *call, s *service) (*admission, *api.Problem) {
-	a := &admission{service: s, permits: e.permits, ticket: e.tickets.Add(1), team: c.team}
-	if refusal := e.takeSlot(c, a); refusal != nil {
+	a := &admission{service: s, permits: e.permits, ticket: e.lastTicket.Add(1), team: c.team}
+	if refusal := e.acquireSlot(c, a); refusal != nil {
 		return nil, refusal
 	}
 	now := e.now()
-	taken, wait, retryAfter := e.permits.acquire(c.team, now, c.deadline)
-	if taken {
+	acquired, wait, retryAfter := e.permits.acquire(c.team, now, c.deadline)
+	if acquired {
 		return a, nil
 	}
-	// The slot must not stand idle while the team waits for a permit.
-	s.finish(now, a.ticket)
+	// Release the slot, so that it is not idle while the team waits for a
+	// permit.
+	s.releaseSlot(now, a.ticket)
 	if wait == nil {
-		return nil, busy("team-at-limit", "the team runs as much as its upper limit allows", retryAfter)
+		return nil, unavailableProblem("team-at-limit", "the team runs as much as its upper limit allows", retryAfter)
 	}
 	if refusal := e.awaitPermit(c, wait); refusal != nil {
 		return nil, refusal
 	}
-	a.ticket = e.tickets.Add(1)
-	if refusal := e.takeSlot(c, a); refusal != nil {
+	a.ticket = e.lastTicket.Add(1)
+	if refusal := e.acquireSlot(c, a); refusal != nil {
 		e.permits.release(c.team, e.now())
 		return nil, refusal
 	}
 	return a, nil
 }
 
-// takeSlot submits the ticket and waits for its turn.
-func (e *Entry) takeSlot(c *call, a *admission) *api.Problem {
+// acquireSlot submits the ticket and waits for its result.
+func (e *Entry) acquireSlot(c *call, a *admission) *api.Problem {
 	ticket := share.Ticket{
 		ID: a.ticket, Team: c.team, Class: shareClass(c.entry.Class),
 		Deadline: a.service.latestStart(c.deadline),
 	}
-	outcome, turns := a.service.submit(e.now(), ticket)
+	outcome, results := a.service.submit(e.now(), ticket)
 	switch outcome.Decision {
 	case share.Start:
 		return nil
 	case share.Refused:
-		return a.service.refusal(outcome.RetryAfter)
+		return a.service.refusalProblem(outcome.RetryAfter)
 	}
 	select {
-	case t := <-turns:
-		if !t.start {
-			return a.service.refusal(t.retryAfter)
+	case result := <-results:
+		if !result.granted {
+			return a.service.refusalProblem(result.retryAfter)
 		}
 		return nil
 	case <-c.request.Context().Done():
 		if !a.service.cancel(e.now(), a.ticket) {
-			if t := <-turns; t.start {
-				a.service.finish(e.now(), a.ticket)
+			if result := <-results; result.granted {
+				a.service.releaseSlot(e.now(), a.ticket)
 			}
 		}
-		return callerGone()
+		return callerGoneProblem()
 	}
 }
 
@@ -77,13 +78,13 @@
 func (e *Entry) awaitPermit(c *call, wait chan struct{}) *api.Problem {
 	timer := time.NewTimer(c.deadline.Sub(e.now()))
 	defer timer.Stop()
-	refusal := busy("team-at-limit", "the team runs as much as its upper limit allows", firstPermitWait)
+	refusal := unavailableProblem("team-at-limit", "the team runs as much as its upper limit allows", defaultPermitWait)
 	select {
 	case <-wait:
 		return nil
 	case <-timer.C:
 	case <-c.request.Context().Done():
-		refusal = callerGone()
+		refusal = callerGoneProblem()
 	}
 	if !e.permits.cancel(c.team, wait) {
 		e.permits.release(c.team, e.now())
@@ -91,32 +92,35 @@
 	return refusal
 }
 
-// end returns slot and permit: the work is known to have ended.
+// end releases the slot and the permit. The work is known to have ended.
 func (a *admission) end(now time.Time) {
-	a.service.finish(now, a.ticket)
+	a.service.releaseSlot(now, a.ticket)
 	a.permits.release(a.team, now)
 }
 
-// linger returns the slot, but keeps the permit until the work cannot run any more.
+// linger releases the slot but keeps the permit until the work can no longer be
+// running.
 func (a *admission) linger(now, until time.Time) {
-	a.service.finish(now, a.ticket)
+	a.service.releaseSlot(now, a.ticket)
 	a.permits.ledger.Linger(a.team, until)
 }
 
-// noEndpoint refuses work that has nowhere to go.
-func noEndpoint() *api.Problem {
-	return busy("no-endpoint", "no endpoint of the service takes work", comeBackSoon)
+// noEndpointProblem refuses work for which no endpoint is available.
+func noEndpointProblem() *api.Problem {
+	return unavailableProblem("no-endpoint", "no endpoint of the service takes work", defaultRetryAfter)
 }
 
-// callerGone ends a request whose caller has hung up; nobody reads it.
-func callerGone() *api.Problem {
-	return refuse(statusClientClosedRequest, "caller-gone", "", "the caller closed the connection")
+// callerGoneProblem ends a request whose caller has disconnected, so it appears
+// only in logs and metrics.
+func callerGoneProblem() *api.Problem {
+	return notRunProblem(statusClientClosedRequest, "caller-gone", "", "the caller closed the connection")
 }
 
-// statusClientClosedRequest is the customary status for it, in logs only.
+// statusClientClosedRequest is the conventional non-standard status for a
+// request whose caller has disconnected.
 const statusClientClosedRequest = 499
 
-// shareClass returns the scheduler's class for the catalogue's.
+// shareClass converts a class of the catalogue to one of the scheduler.
 func shareClass(class catalogue.Class) share.Class {
 	switch class {
 	case catalogue.ClassUrgent:
--- a/internal/entry/charges.go
+++ b/internal/entry/charges.go
@@ -14,47 +14,49 @@
 )
 
 const (
-	// chargeTick is the interval of a book's timers.
-	chargeTick = 50 * time.Millisecond
-	// chargeInterval is the least time between two batches that are not full.
-	chargeInterval = 250 * time.Millisecond
-	// chargeBatch is the number of entries that the platform counts as one write.
-	chargeBatch = 100
+	// chargeTickInterval is the time between two ticks of the recorder.
+	chargeTickInterval = 50 * time.Millisecond
+	// chargeBatchInterval is the minimum time between two batches that are not
+	// full.
+	chargeBatchInterval = 250 * time.Millisecond
+	// maxChargeBatch is the number of rows that the platform counts as one
+	// write.
+	maxChargeBatch = 100
 	// chargeCallTimeout bounds one call to the table or a peer about charges.
 	chargeCallTimeout = 2 * time.Second
-	// chargeQueue bounds the events that wait for the book.
-	chargeQueue = 16384
+	// maxChargeEvents bounds the queue of the recorder's events.
+	maxChargeEvents = 16384
 )
 
-// charges drives a charge.Book: one goroutine owns it, and each table or peer
-// call that the book asks for runs in a goroutine of its own.
+// charges runs a charge.Recorder: an event loop owns it, and each table or peer
+// call that the recorder requests runs in its own goroutine.
 type charges struct {
-	*owner[charge.Effect]
+	*eventLoop[charge.Effect]
 	node     peerNode
 	log      *log.Logger
-	book     *charge.Recorder
+	recorder *charge.Recorder
 	sequence atomic.Uint64
 }
 
 // newCharges returns charges that are written once run is called.
 func newCharges(node peerNode, logger *log.Logger) *charges {
 	return &charges{
-		owner: newOwner[charge.Effect](chargeQueue),
-		node:  node,
-		log:   logger,
-		book: charge.New(charge.Config{
-			Self: node.Self().Identity, MaxBatch: chargeBatch, BatchInterval: chargeInterval,
+		eventLoop: newEventLoop[charge.Effect](maxChargeEvents),
+		node:      node,
+		log:       logger,
+		recorder: charge.New(charge.Config{
+			Self: node.Self().Identity, MaxBatch: maxChargeBatch, BatchInterval: chargeBatchInterval,
 		}),
 	}
 }
 
-// run owns the book until the context ends.
+// run runs the event loop until the context ends.
 func (c *charges) run(ctx context.Context) {
-	c.owner.run(ctx, chargeTick, c.book.Tick, c.carryOut)
+	c.eventLoop.run(ctx, chargeTickInterval, c.recorder.Tick, c.execute)
 }
 
-// carryOut does what the book asks for.
-func (c *charges) carryOut(ctx context.Context, effect charge.Effect) {
+// execute executes an effect of the recorder.
+func (c *charges) execute(ctx context.Context, effect charge.Effect) {
 	switch effect := effect.(type) {
 	case charge.Commit:
 		c.calls.Go(func() { c.commit(ctx, effect) })
@@ -65,21 +67,21 @@
 	}
 }
 
-// commit writes a batch and feeds the answer back.
+// commit writes a batch to the table and posts the result to the recorder.
 func (c *charges) commit(ctx context.Context, effect charge.Commit) {
 	ctx, cancel := context.WithTimeout(ctx, chargeCallTimeout)
 	defer cancel()
 	err := c.node.Store().Commit(ctx, effect.Txn)
-	c.post(func(now time.Time) []charge.Effect { return c.book.HandleTableResult(now, effect.Call, err) })
+	c.post(func(now time.Time) []charge.Effect { return c.recorder.HandleTableResult(now, effect.Call, err) })
 }
 
-// mirror has a peer hold entries and feeds its confirmation back.
+// mirror has a peer hold records and posts its confirmation to the recorder.
 func (c *charges) mirror(ctx context.Context, effect charge.Mirror) {
 	ctx, cancel := context.WithTimeout(ctx, chargeCallTimeout)
 	defer cancel()
 	entries, err := peer.ChargeMessages(effect.Records)
 	if err != nil {
-		c.log.Error("charges not mirrored", "reason", err.Error())
+		c.log.Error("cannot encode charges to mirror", "reason", err.Error())
 		return
 	}
 	reply, err := c.node.Dial(effect.To).KeepCharges(ctx, &peerpb.KeepChargesRequest{
@@ -93,11 +95,12 @@
 		return
 	}
 	confirm := charge.Confirm{To: effect.From, From: effect.To.Identity, Held: held}
-	c.post(func(now time.Time) []charge.Effect { return c.book.HandleConfirm(now, confirm) })
+	c.post(func(now time.Time) []charge.Effect { return c.recorder.HandleConfirm(now, confirm) })
 }
 
-// forget tells a peer which entries it need not hold any more; one that does
-// not hear of it writes them, which changes nothing.
+// forget tells a peer which records it no longer has to hold. A peer that
+// misses this writes the records to the table, where they already are, so
+// nothing changes.
 func (c *charges) forget(ctx context.Context, effect charge.Forget) {
 	members, _ := c.node.Roster()
 	member, ok := members.Find(effect.To.Name)
@@ -115,66 +118,67 @@
 	})
 }
 
-// hold keeps a peer's entries and returns those that have room.
-func (c *charges) hold(from roster.Identity, entries, forgotten []charge.Record) []charge.Record {
-	held, _ := query(c.owner, func(now time.Time) ([]charge.Record, []charge.Effect) {
-		effects := c.book.HandleForget(now, charge.Forget{To: c.node.Self().Identity, Records: forgotten})
-		confirmed, rest := takeConfirm(c.book.HandleMirror(now, charge.Mirror{To: c.node.Self(), From: from, Records: entries}))
-		return confirmed.Held, append(effects, rest...)
+// holdForPeer drops a peer's forgotten records and holds its new ones. It
+// returns the records for which there was room.
+func (c *charges) holdForPeer(from roster.Identity, entries, forgotten []charge.Record) []charge.Record {
+	held, _ := query(c.eventLoop, func(now time.Time) ([]charge.Record, []charge.Effect) {
+		effects := c.recorder.HandleForget(now, charge.Forget{To: c.node.Self().Identity, Records: forgotten})
+		confirmed, other := splitConfirm(c.recorder.HandleMirror(now, charge.Mirror{To: c.node.Self(), From: from, Records: entries}))
+		return confirmed.Held, append(effects, other...)
 	})
 	return held
 }
 
-// takeConfirm separates the confirmation, which is the peer's answer, from the
-// other effects.
-func takeConfirm(effects []charge.Effect) (confirm charge.Confirm, rest []charge.Effect) {
+// splitConfirm separates the confirmation, which is the reply to the peer, from
+// the other effects.
+func splitConfirm(effects []charge.Effect) (confirm charge.Confirm, other []charge.Effect) {
 	for _, effect := range effects {
 		if c, ok := effect.(charge.Confirm); ok {
 			confirm = c
 			continue
 		}
-		rest = append(rest, effect)
+		other = append(other, effect)
 	}
-	return confirm, rest
+	return confirm, other
 }
 
-// newRunID names an attempt; the id stands on its charge.
+// newRunID returns the ID of a new attempt. Its charge carries the same ID.
 func (c *charges) newRunID() charge.RunID {
 	return charge.RunID{Entry: c.node.Self().Identity, Sequence: c.sequence.Add(1)}
 }
 
-// rosterChanged hands a roster to the book.
+// rosterChanged passes a new roster to the recorder.
 func (c *charges) rosterChanged(members roster.Roster) {
-	c.post(func(now time.Time) []charge.Effect { return c.book.ApplyRoster(now, members) })
+	c.post(func(now time.Time) []charge.Effect { return c.recorder.ApplyRoster(now, members) })
 }
 
-// proven charges a run whose endpoint gave its whole answer.
-func (c *charges) proven(run charge.Charge) {
-	c.post(func(now time.Time) []charge.Effect { return c.book.RecordCharge(now, run) })
+// recordCharge charges a run whose endpoint sent a complete response.
+func (c *charges) recordCharge(record charge.Charge) {
+	c.post(func(now time.Time) []charge.Effect { return c.recorder.RecordCharge(now, record) })
 }
 
-// unproven lists a run of which it is not known whether it took place.
-func (c *charges) unproven(run charge.Charge, reason charge.Reason) {
-	c.post(func(now time.Time) []charge.Effect { return c.book.RecordUnproven(now, run, reason) })
+// recordUnproven lists a run that may or may not have taken place.
+func (c *charges) recordUnproven(record charge.Charge, reason charge.Reason) {
+	c.post(func(now time.Time) []charge.Effect { return c.recorder.RecordUnproven(now, record, reason) })
 }
 
-// flush waits until the table has all charges, or the context ends.
+// flush waits until all charges are in the table, or the context ends.
 func (c *charges) flush(ctx context.Context) {
 	for ctx.Err() == nil {
-		drained, ok := query(c.owner, func(time.Time) (bool, []charge.Effect) { return c.book.Drained(), nil })
+		drained, ok := query(c.eventLoop, func(time.Time) (bool, []charge.Effect) { return c.recorder.Drained(), nil })
 		if drained || !ok {
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(chargeTick):
+		case <-time.After(chargeTickInterval):
 		}
 	}
-	c.log.Warn("charges are left at the end of the grace")
+	c.log.Warn("not all charges were written to the table before the grace period ended")
 }
 
-// snapshot returns the book's state for the dump.
+// snapshot returns the recorder's state for the dump.
 func (c *charges) snapshot() charge.Snapshot {
-	snapshot, _ := query(c.owner, func(time.Time) (charge.Snapshot, []charge.Effect) { return c.book.Snapshot(), nil })
+	snapshot, _ := query(c.eventLoop, func(time.Time) (charge.Snapshot, []charge.Effect) { return c.recorder.Snapshot(), nil })
 	return snapshot
 }
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -16,31 +16,33 @@
 )
 
 const (
-	// claimTick is the interval of a holder's timers.
-	claimTick = 25 * time.Millisecond
-	// claimInterval and finishInterval bound the transactions of one entry:
-	// seven entries write at most 280 a second.
+	// claimTickInterval is the time between two ticks of the replica.
+	claimTickInterval = 25 * time.Millisecond
+	// claimInterval and finishInterval bound the transactions of one entry.
+	// With them, seven entries write at most 280 transactions per second.
 	claimInterval  = 25 * time.Millisecond
 	finishInterval = 250 * time.Millisecond
 	// claimProbeInterval is the time between acknowledgements of a roster, and
-	// so how long claims on moved ids wait.
+	// so the delay of claims on IDs whose primary has changed.
 	claimProbeInterval = 100 * time.Millisecond
 	// claimCallTimeout bounds one call to the table or a peer about claims.
 	claimCallTimeout = 2 * time.Second
-	// releasePatience bounds the attempts to give a claim back.
-	releasePatience = 10 * time.Second
-	// claimRetries bounds how often a moved claim is asked for again.
-	claimRetries = 5
-	// claimRetryPause lets a roster change spread before asking again.
-	claimRetryPause = 20 * time.Millisecond
-	// claimQueue bounds the events that wait for the holder.
-	claimQueue = 4096
+	// releaseTimeout bounds the attempts to release a claim.
+	releaseTimeout = 10 * time.Second
+	// maxClaimAttempts bounds how often a claim is requested while its primary
+	// changes.
+	maxClaimAttempts = 5
+	// claimRetryDelay lets a roster change spread before the claim is requested
+	// again.
+	claimRetryDelay = 20 * time.Millisecond
+	// maxClaimEvents bounds the queue of the replica's events.
+	maxClaimEvents = 4096
 )
 
-// errClaimsStopped ends calls on claims when the process stops.
-var errClaimsStopped = errors.New("claims have stopped")
+// errClaimsStopped is returned for claims while the process stops.
+var errClaimsStopped = errors.New("claim replica has stopped: the entry is shutting down")
 
-// peerNode is what claims and charges need of the node.
+// peerNode is the part of node.Node that claims and charges use.
 type peerNode interface {
 	Self() roster.Member
 	Store() table.Store
@@ -49,42 +51,42 @@
 	PollNow()
 }
 
-// claims drives a claim.Holder: one goroutine owns it, and each table or peer
-// call that the holder asks for runs in a goroutine of its own.
+// claims runs a claim.Replica: an event loop owns it, and each table or peer
+// call that the replica requests runs in its own goroutine.
 type claims struct {
-	*owner[claim.Effect]
+	*eventLoop[claim.Effect]
 	node     peerNode
-	holder   *claim.Replica
+	replica  *claim.Replica
 	sequence atomic.Uint64
-	// background runs what need not hold up a caller.
-	background func(func(ctx context.Context))
+	// runInBackground runs work that the caller does not wait for.
+	runInBackground func(func(ctx context.Context))
 
-	// Owned by the loop.
-	claimants map[claim.Token]chan claim.Answer
-	confirms  map[claim.Token]chan claim.Confirm
+	// answerWaiters and confirmWaiters are owned by the event loop.
+	answerWaiters  map[claim.Token]chan claim.Answer
+	confirmWaiters map[claim.Token]chan claim.Confirm
 }
 
 // newClaims returns claims that answer once run is called.
 func newClaims(node peerNode, retention time.Duration) *claims {
 	return &claims{
-		owner: newOwner[claim.Effect](claimQueue),
-		node:  node,
-		holder: claim.New(claim.Config{
+		eventLoop: newEventLoop[claim.Effect](maxClaimEvents),
+		node:      node,
+		replica: claim.New(claim.Config{
 			Self: node.Self().Identity, Retention: retention, ProbeInterval: claimProbeInterval,
 			ClaimInterval: claimInterval, FinishInterval: finishInterval,
 		}),
-		claimants: make(map[claim.Token]chan claim.Answer),
-		confirms:  make(map[claim.Token]chan claim.Confirm),
+		answerWaiters:  make(map[claim.Token]chan claim.Answer),
+		confirmWaiters: make(map[claim.Token]chan claim.Confirm),
 	}
 }
 
-// run owns the holder until the context ends.
+// run runs the event loop until the context ends.
 func (c *claims) run(ctx context.Context) {
-	c.owner.run(ctx, claimTick, c.holder.Tick, c.carryOut)
+	c.eventLoop.run(ctx, claimTickInterval, c.replica.Tick, c.execute)
 }
 
-// carryOut does what the holder asks for.
-func (c *claims) carryOut(ctx context.Context, effect claim.Effect) {
+// execute executes an effect of the replica.
+func (c *claims) execute(ctx context.Context, effect claim.Effect) {
 	switch effect := effect.(type) {
 	case claim.Commit:
 		c.callTable(ctx, effect.Call, func(ctx context.Context) ([]table.Row, error) {
@@ -99,44 +101,45 @@
 			return c.node.Store().Scan(ctx, effect.Prefix)
 		})
 	case claim.AskSecondary:
-		c.calls.Go(func() { c.askSecond(ctx, effect) })
+		c.calls.Go(func() { c.mirrorToSecondary(ctx, effect) })
 	case claim.Confirm:
-		if waiter, ok := c.confirms[effect.Record.Token]; ok {
+		if waiter, ok := c.confirmWaiters[effect.Record.Token]; ok {
 			waiter <- effect
-			delete(c.confirms, effect.Record.Token)
+			delete(c.confirmWaiters, effect.Record.Token)
 		}
 	case claim.Answer:
-		if waiter, ok := c.claimants[effect.Token]; ok {
+		if waiter, ok := c.answerWaiters[effect.Token]; ok {
 			waiter <- effect
-			delete(c.claimants, effect.Token)
+			delete(c.answerWaiters, effect.Token)
 		}
 	case claim.StaleRoster:
 		c.node.PollNow()
 	}
 }
 
-// callTable runs a table call and feeds its answer back.
-func (c *claims) callTable(ctx context.Context, call uint64, do func(context.Context) ([]table.Row, error)) {
+// callTable calls the table and posts the result to the replica.
+func (c *claims) callTable(ctx context.Context, call uint64, fn func(context.Context) ([]table.Row, error)) {
 	c.calls.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, claimCallTimeout)
 		defer cancel()
-		rows, err := do(ctx)
+		rows, err := fn(ctx)
 		c.post(func(now time.Time) []claim.Effect {
-			return c.holder.HandleTableResult(now, claim.TableResult{Call: call, Rows: rows, Err: err})
+			return c.replica.HandleTableResult(now, claim.TableResult{Call: call, Rows: rows, Err: err})
 		})
 	})
 }
 
-// askSecond has a peer record a claim and feeds its confirmation back.
-func (c *claims) askSecond(ctx context.Context, ask claim.AskSecondary) {
+// mirrorToSecondary has a peer record a claim as the secondary, and posts its
+// confirmation to the replica.
+func (c *claims) mirrorToSecondary(ctx context.Context, mirror claim.AskSecondary) {
 	ctx, cancel := context.WithTimeout(ctx, claimCallTimeout)
 	defer cancel()
-	record, err := peer.RecordMessage(ask.Record)
+	record, err := peer.RecordMessage(mirror.Record)
 	if err != nil {
 		return
 	}
-	reply, err := c.node.Dial(ask.To).Mirror(ctx, &peerpb.MirrorRequest{
-		From: peer.IdentityMessage(ask.From), RosterVersion: ask.Version, Record: record,
+	reply, err := c.node.Dial(mirror.To).Mirror(ctx, &peerpb.MirrorRequest{
+		From: peer.IdentityMessage(mirror.From), RosterVersion: mirror.Version, Record: record,
 	})
 	if err != nil {
 		return
@@ -146,75 +149,77 @@
 		return
 	}
 	c.post(func(now time.Time) []claim.Effect {
-		return c.holder.HandleConfirm(now, claim.Confirm{
-			To: ask.From, From: ask.To.Identity, Version: reply.GetRosterVersion(),
+		return c.replica.HandleConfirm(now, claim.Confirm{
+			To: mirror.From, From: mirror.To.Identity, Version: reply.GetRosterVersion(),
 			Record: confirmed, Recorded: reply.GetRecorded(),
 		})
 	})
 }
 
-// rosterChanged hands a roster to the holder.
+// rosterChanged passes a new roster to the replica.
 func (c *claims) rosterChanged(members roster.Roster, rowVersion uint64) {
 	c.post(func(now time.Time) []claim.Effect {
-		return c.holder.ApplyRoster(now, members, rowVersion)
+		return c.replica.ApplyRoster(now, members, rowVersion)
 	})
 }
 
-// newToken names a new attempt of this process at the home.
-func (c *claims) newToken(home roster.Identity) claim.Token {
-	return claim.Token{Claimant: c.node.Self().Identity, Primary: home, Sequence: c.sequence.Add(1)}
+// newToken returns a token for a new attempt that is claimed at the primary.
+func (c *claims) newToken(primary roster.Identity) claim.Token {
+	return claim.Token{Claimant: c.node.Self().Identity, Primary: primary, Sequence: c.sequence.Add(1)}
 }
 
-// claim asks the id's home for the right to dispatch, and again, under another
-// token, where the home has moved. An error means that no answer came: the
-// claim of the answer's token must be released.
-func (c *claims) claim(ctx context.Context, request claim.Request) (claim.Answer, error) {
+// acquire requests a claim from the ID's primary. If the ID has moved to
+// another primary, it repeats the request there with a new token. An error
+// means that no answer arrived: the caller must release the claim of the
+// returned answer's token.
+func (c *claims) acquire(ctx context.Context, request claim.Request) (claim.Answer, error) {
 	var answer claim.Answer
-	for range claimRetries {
+	for range maxClaimAttempts {
 		members, _ := c.node.Roster()
-		home, _ := members.Pair(claim.BucketKey(request.ID.Bucket()))
-		if home.Name == "" {
+		primary, _ := members.Pair(claim.BucketKey(request.ID.Bucket()))
+		if primary.Name == "" {
 			return claim.Answer{Outcome: claim.OutcomeMoved}, nil
 		}
 		request.Version = members.Version
-		request.Token = c.newToken(home.Identity)
+		request.Token = c.newToken(primary.Identity)
 		var err error
-		answer, err = c.askHome(ctx, home, request)
+		answer, err = c.requestFromPrimary(ctx, primary, request)
 		if err != nil || answer.Outcome != claim.OutcomeMoved {
 			return answer, err
 		}
-		// The former home may have begun to record the claim.
-		former := request.Token
-		c.background(func(ctx context.Context) { c.release(ctx, request.ID, former) })
+		// The former primary may have begun to record the claim.
+		staleToken := request.Token
+		c.runInBackground(func(ctx context.Context) { c.release(ctx, request.ID, staleToken) })
 		c.node.PollNow()
 		select {
 		case <-ctx.Done():
 			return answer, ctx.Err()
-		case <-time.After(claimRetryPause):
+		case <-time.After(claimRetryDelay):
 		}
 	}
 	return answer, nil
 }
 
-// askHome asks this process or a peer.
-func (c *claims) askHome(ctx context.Context, home roster.Member, request claim.Request) (claim.Answer, error) {
+// requestFromPrimary requests a claim from the primary, which is this process
+// or a peer.
+func (c *claims) requestFromPrimary(ctx context.Context, primary roster.Member, request claim.Request) (claim.Answer, error) {
 	unanswered := claim.Answer{Token: request.Token}
-	if home.Identity == c.node.Self().Identity {
-		return c.decide(ctx, request)
+	if primary.Identity == c.node.Self().Identity {
+		return c.requestLocal(ctx, request)
 	}
-	reply, err := c.node.Dial(home).Claim(ctx, peer.ClaimMessage(request))
+	reply, err := c.node.Dial(primary).Claim(ctx, peer.ClaimMessage(request))
 	if err != nil {
-		return unanswered, errors.Wrapf(err, "ask %s for a claim", home.Name)
+		return unanswered, errors.Wrapf(err, "request claim from primary %s", primary.Name)
 	}
 	return peer.Answer(request.Token, reply)
 }
 
-// decide has this process's holder answer as the home.
-func (c *claims) decide(ctx context.Context, request claim.Request) (claim.Answer, error) {
+// requestLocal requests a claim from this process's replica as the primary.
+func (c *claims) requestLocal(ctx context.Context, request claim.Request) (claim.Answer, error) {
 	waiter := make(chan claim.Answer, 1)
 	posted := c.post(func(now time.Time) []claim.Effect {
-		c.claimants[request.Token] = waiter
-		return c.holder.Request(now, request)
+		c.answerWaiters[request.Token] = waiter
+		return c.replica.Request(now, request)
 	})
 	unanswered := claim.Answer{Token: request.Token}
 	if !posted {
@@ -225,7 +230,7 @@
 		return answer, nil
 	case <-ctx.Done():
 		c.post(func(time.Time) []claim.Effect {
-			delete(c.claimants, request.Token)
+			delete(c.answerWaiters, request.Token)
 			return nil
 		})
 		return unanswered, ctx.Err()
@@ -234,12 +239,12 @@
 	}
 }
 
-// mirror has this process's holder record a claim as the second.
-func (c *claims) mirror(ctx context.Context, ask claim.AskSecondary) (claim.Confirm, error) {
+// mirrorLocal records a claim in this process's replica as the secondary.
+func (c *claims) mirrorLocal(ctx context.Context, mirror claim.AskSecondary) (claim.Confirm, error) {
 	waiter := make(chan claim.Confirm, 1)
 	posted := c.post(func(now time.Time) []claim.Effect {
-		c.confirms[ask.Record.Token] = waiter
-		return c.holder.Mirror(now, ask)
+		c.confirmWaiters[mirror.Record.Token] = waiter
+		return c.replica.Mirror(now, mirror)
 	})
 	if !posted {
 		return claim.Confirm{}, errClaimsStopped
@@ -249,7 +254,7 @@
 		return confirm, nil
 	case <-ctx.Done():
 		c.post(func(time.Time) []claim.Effect {
-			delete(c.confirms, ask.Record.Token)
+			delete(c.confirmWaiters, mirror.Record.Token)
 			return nil
 		})
 		return claim.Confirm{}, ctx.Err()
@@ -258,15 +263,16 @@
 	}
 }
 
-// finish tells the home how a granted attempt ended. Without the home the
-// record stands as claimed until its run limit, and reads as unknown after.
+// finish reports the outcome of a granted attempt to the primary. If the
+// primary cannot be reached, the record stays claimed until its run limit and
+// counts as unknown after that.
 func (c *claims) finish(ctx context.Context, record claim.Record, state claim.State, result *claim.Result) {
-	home, ok := c.home(record.ID)
+	primary, ok := c.primary(record.ID)
 	if !ok {
 		return
 	}
-	if home.Identity == c.node.Self().Identity {
-		c.finishHere(record, state, result)
+	if primary.Identity == c.node.Self().Identity {
+		c.finishLocal(record, state, result)
 		return
 	}
 	encoded, err := peer.RecordMessage(record)
@@ -275,28 +281,30 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimCallTimeout)
 	defer cancel()
-	_, _ = c.node.Dial(home).Finish(ctx, &peerpb.FinishRequest{
+	_, _ = c.node.Dial(primary).Finish(ctx, &peerpb.FinishRequest{
 		Record: encoded, State: string(state), Result: peer.ResultMessage(result),
 	})
 }
 
-// finishHere records an end at this process's holder and waits until it did.
-func (c *claims) finishHere(record claim.Record, state claim.State, result *claim.Result) bool {
-	recorded, _ := query(c.owner, func(now time.Time) (bool, []claim.Effect) {
-		return c.holder.Finish(now, record, state, result)
+// finishLocal records an outcome in this process's replica and waits until it
+// is recorded.
+func (c *claims) finishLocal(record claim.Record, state claim.State, result *claim.Result) bool {
+	recorded, _ := query(c.eventLoop, func(now time.Time) (bool, []claim.Effect) {
+		return c.replica.Finish(now, record, state, result)
 	})
 	return recorded
 }
 
-// release tells the home that the attempt will never be dispatched, and again
-// until the home has taken it. A home that cannot be reached for long keeps the
-// claim, which reads as unknown once its run limit is over.
+// release tells the primary that the attempt will never be dispatched, and
+// retries until the primary has accepted that or releaseTimeout has passed.
+// After that the claim stays, and counts as unknown once its run limit has
+// passed.
 func (c *claims) release(ctx context.Context, id claim.ID, token claim.Token) {
-	ctx, cancel := context.WithTimeout(ctx, releasePatience)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		home, ok := c.home(id)
-		if ok && c.releaseAt(ctx, home, id, token) {
+		primary, ok := c.primary(id)
+		if ok && c.releaseAt(ctx, primary, id, token) {
 			return
 		}
 		select {
@@ -308,45 +316,46 @@
 	}
 }
 
-// releaseAt makes one attempt to tell the home.
-func (c *claims) releaseAt(ctx context.Context, home roster.Member, id claim.ID, token claim.Token) bool {
-	if home.Identity == c.node.Self().Identity {
-		return c.releaseHere(id, token)
+// releaseAt makes one attempt to release the claim at the primary.
+func (c *claims) releaseAt(ctx context.Context, primary roster.Member, id claim.ID, token claim.Token) bool {
+	if primary.Identity == c.node.Self().Identity {
+		return c.releaseLocal(id, token)
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimCallTimeout)
 	defer cancel()
-	reply, err := c.node.Dial(home).Release(ctx, &peerpb.ReleaseRequest{
+	reply, err := c.node.Dial(primary).Release(ctx, &peerpb.ReleaseRequest{
 		Id: peer.ClaimIDMessage(id), Token: peer.TokenMessage(token),
 	})
 	return err == nil && reply.GetTaken()
 }
 
-// releaseHere records a release at this process's holder.
-func (c *claims) releaseHere(id claim.ID, token claim.Token) bool {
+// releaseLocal releases a claim in this process's replica.
+func (c *claims) releaseLocal(id claim.ID, token claim.Token) bool {
 	return c.post(func(now time.Time) []claim.Effect {
-		return c.holder.Release(now, id, token)
+		return c.replica.Release(now, id, token)
 	})
 }
 
-// home returns the id's home at the newest roster.
-func (c *claims) home(id claim.ID) (roster.Member, bool) {
+// primary returns the ID's primary in the newest roster.
+func (c *claims) primary(id claim.ID) (roster.Member, bool) {
 	members, _ := c.node.Roster()
-	home, _ := members.Pair(claim.BucketKey(id.Bucket()))
-	return home, home.Name != ""
+	primary, _ := members.Pair(claim.BucketKey(id.Bucket()))
+	return primary, primary.Name != ""
 }
 
-// snapshot returns the holder's state for the dump.
+// snapshot returns the replica's state for the dump.
 func (c *claims) snapshot() claim.Snapshot {
-	snapshot, _ := query(c.owner, func(time.Time) (claim.Snapshot, []claim.Effect) { return c.holder.Snapshot(), nil })
+	snapshot, _ := query(c.eventLoop, func(time.Time) (claim.Snapshot, []claim.Effect) { return c.replica.Snapshot(), nil })
 	return snapshot
 }
 
-// claimID is the identity of a marked call.
+// claimID returns the claim ID of an idempotent request.
 func claimID(c *call) claim.ID {
-	return claim.ID{Team: c.team, Service: c.entry.Name, Key: c.key}
+	return claim.ID{Team: c.team, Service: c.entry.Name, Key: c.idempotencyKey}
 }
 
-// claimRequest is the request for a marked call's only attempt.
+// claimRequest returns the request to claim the only attempt of an idempotent
+// request.
 func claimRequest(c *call) claim.Request {
 	return claim.Request{
 		ID: claimID(c), Digest: hex.EncodeToString(c.digest[:]), RunLimit: c.entry.LongestRun,
--- a/internal/entry/control_bench_test.go
+++ b/internal/entry/control_bench_test.go
@@ -22,31 +22,32 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// controlTime is how long a deployment runs for a reading.
-const controlTime = 3 * time.Second
+// measurementTime is how long a deployment runs per iteration.
+const measurementTime = 3 * time.Second
 
-// BenchmarkControl runs entries that serve no caller, over loopback without
-// certificates, and reports what each spends on the others: part of a core, and
-// bytes at its peer port in both directions. Its calls at the others' ports are
-// as many again. The table is in memory.
+// BenchmarkControl measures the control traffic between entries that serve no
+// callers. It reports the share of a core per entry, and the bytes in both
+// directions at its peer port. Its calls to the other entries' ports cost as
+// many bytes again. The entries use loopback connections without TLS, and the
+// table is in memory.
 func BenchmarkControl(b *testing.B) {
 	for _, members := range []int{2, 4, 7, 10, 14} {
 		b.Run(fmt.Sprintf("entries=%02d", members), func(b *testing.B) {
 			d := newDeployment(b, members)
 			time.Sleep(time.Second)
-			bytes, used := d.bytes.Load(), processorTime(b)
+			bytes, used := d.bytes.Load(), processCPUTime(b)
 			for range b.N {
-				time.Sleep(controlTime)
+				time.Sleep(measurementTime)
 			}
-			seconds := controlTime.Seconds() * float64(b.N) * float64(members)
-			b.ReportMetric((processorTime(b)-used).Seconds()/seconds*100, "core-percent/entry")
+			seconds := measurementTime.Seconds() * float64(b.N) * float64(members)
+			b.ReportMetric((processCPUTime(b)-used).Seconds()/seconds*100, "core-percent/entry")
 			b.ReportMetric(float64(d.bytes.Load()-bytes)/seconds, "port-bytes/s/entry")
 		})
 	}
 }
 
-// processorTime is what this process has used.
-func processorTime(b *testing.B) time.Duration {
+// processCPUTime returns the CPU time that this process has used.
+func processCPUTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -55,7 +56,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// deployment is several entries with peer ports.
+// deployment is a set of entries with peer ports.
 type deployment struct {
 	bytes atomic.Int64
 	hosts []platform.Host
@@ -64,22 +65,23 @@
 // Hosts implements HostLister.
 func (d *deployment) Hosts(context.Context) ([]platform.Host, error) { return d.hosts, nil }
 
-// newDeployment starts entries of today's sizes, which stop when b ends.
+// newDeployment starts entries with 6 teams, 5 services and 50 endpoints, and
+// stops them when b ends.
 func newDeployment(b *testing.B, members int) *deployment {
 	b.Helper()
-	// The first entry stands for the rows only.
-	rows := newBenchEntry(b, shape{members: 1, teams: 6, services: 5, endpoints: 10})
+	// This entry only writes the rows. It is not part of the deployment.
+	rows := newBenchEntry(b, deploymentSize{members: 1, teams: 6, services: 5, endpoints: 10})
 	empty := table.Txn{Writes: []table.Write{{Key: roster.Key, Value: roster.Roster{}.Encode()}}}
 	if err := rows.store.Commit(context.Background(), empty); err != nil {
 		b.Fatal(err)
 	}
 	d := &deployment{hosts: rows.hosts}
 	ctx, cancel := context.WithCancel(context.Background())
-	var ended []<-chan error
+	var stopped []<-chan error
 	for i := range members {
 		server := httptest.NewUnstartedServer(http.NotFoundHandler())
 		server.Listener = &countedListener{Listener: server.Listener, bytes: &d.bytes}
-		self := member(i + 1)
+		self := benchMember(i + 1)
 		self.Address = netip.MustParseAddrPort(server.Listener.Addr().String())
 		dialer := peer.New(peer.Config{Secret: "s", Timeout: time.Second})
 		n := node.New(node.Config{Self: self, Store: rows.store, Log: log.New(io.Discard), FreshBound: time.Hour, Dialer: dialer})
@@ -91,12 +93,12 @@
 		if err := n.Join(ctx); err != nil {
 			b.Fatal(err)
 		}
-		ended = append(ended, running, n.Run(ctx))
+		stopped = append(stopped, running, n.Run(ctx))
 		b.Cleanup(func() { dialer.Close(); server.Close() })
 	}
 	b.Cleanup(func() {
 		cancel()
-		for _, done := range ended {
+		for _, done := range stopped {
 			<-done
 		}
 	})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,12 +1,13 @@
-// Package entry is the callers' side: it takes requests for services, admits
-// them within limits and shares, sends them to endpoints and passes on the
-// whole answers.
+// Package entry serves callers. It accepts requests for services and queues,
+// admits them within the teams' limits and shares, sends them to endpoints or
+// queue managers, and returns the responses.
 //
-// A request names its service by the first segment of its path and carries the
-// team's key in "Authorization: Bearer". "Lovagedyke-Deadline" bounds the
-// caller's patience, and "Idempotency-Key" marks a request that must not be
-// repeated. Answers that the entry itself makes are problem details
-// (application/problem+json) with an outcome, a reason and Retry-After.
+// The first path segment of a request names the service. The team's key is in
+// "Authorization: Bearer". "Lovagedyke-Deadline" is the time the caller is
+// willing to wait, and "Idempotency-Key" identifies a request that must run at
+// most once. Responses from the entry itself are problem details
+// (application/problem+json) with an outcome, a reason and, where a retry makes
+// sense, Retry-After.
 //
 // # Usage
 //
@@ -15,8 +16,8 @@
 //	done := e.Run(ctx)
 //	server.Handler = e
 //
-// On a planned stop the caller shuts its servers down first, then calls Drain,
-// and ends ctx last.
+// For a planned stop, shut down the servers, then call Drain, and cancel ctx
+// last.
 package entry
 
 import (
@@ -39,109 +40,114 @@
 )
 
 const (
-	// scheduleTick is the interval at which queued requests are looked at.
-	scheduleTick = 10 * time.Millisecond
-	// hostsInterval is the time between two readings of the platform's list.
-	hostsInterval = 500 * time.Millisecond
-	// permitsPatience bounds the wait for the teams' permits at the start.
-	permitsPatience = 5 * time.Second
-	// permitsPoll is the time between two looks at them.
-	permitsPoll = 100 * time.Millisecond
-	// sayingsShare is the part of a gossip interval, in percent, for which all
-	// peers are told the same; intervals vary by a tenth.
-	sayingsShare = 80
-	// connectionsPerEndpoint bounds this entry's connections to one endpoint;
-	// the picker's bound is the one that counts.
-	connectionsPerEndpoint = 64
+	// scheduleInterval is the time between two ticks of the services'
+	// schedulers.
+	scheduleInterval = 10 * time.Millisecond
+	// hostPollInterval is the time between two reads of the platform's host
+	// list.
+	hostPollInterval = 500 * time.Millisecond
+	// permitsTimeout bounds the wait for the teams' permits at startup.
+	permitsTimeout = 5 * time.Second
+	// permitsPollInterval is the time between two checks for permits at
+	// startup.
+	permitsPollInterval = 100 * time.Millisecond
+	// gossipCachePercent is the percentage of the gossip interval during which
+	// all peers get the same demand and load. It is below 100 because the
+	// interval is jittered by a tenth.
+	gossipCachePercent = 80
+	// maxConnectionsPerEndpoint bounds this entry's connections to one
+	// endpoint. The effective bound is the picker's.
+	maxConnectionsPerEndpoint = 64
 )
 
-// HostLister returns the platform's lagging list of hosts.
+// HostLister returns the platform's host list, which may lag behind.
 type HostLister interface {
 	Hosts(ctx context.Context) ([]platform.Host, error)
 }
 
-// Config constructs an Entry.
+// Config configures an Entry.
 type Config struct {
 	Node  *node.Node
 	Hosts HostLister
-	// Objects holds large results of tasks.
+	// Objects reads large task results.
 	Objects ObjectGetter
 	Log     *log.Logger
-	// MaxBody bounds a request's body, in bytes, whatever the catalogue says;
-	// 0 sets no bound.
+	// MaxBody bounds the body of a request in bytes, in addition to the
+	// catalogue's limit. 0 sets no bound.
 	MaxBody int64
-	// ClaimRetention is how long a repeat of a marked request is recognised.
+	// ClaimRetention is how long a repeat of an idempotent request is
+	// recognised.
 	ClaimRetention time.Duration
 }
 
-// Entry serves callers. It is a node.Part and an http.Handler.
+// Entry serves callers. It implements node.Part and http.Handler.
 type Entry struct {
-	config    Config
-	node      *node.Node
-	permits   *permits
-	claims    *claims
-	books     *books
-	charges   *charges
-	forwarder *forwarder
-	tickets   atomic.Uint64
-	// outstanding counts attempts at endpoints, for drains.
+	config     Config
+	node       *node.Node
+	permits    *permits
+	claims     *claims
+	outcomes   *outcomeRecorder
+	charges    *charges
+	forwarder  *forwarder
+	lastTicket atomic.Uint64
+	// outstanding counts the attempts at each endpoint, to confirm that a host
+	// is drained.
 	outstanding *outstanding
-	view        hostView
-	said        sayingsCache
+	hostView    hostView
+	gossipCache gossipDataCache
 
-	// runs ends when attempts under way must be given up.
-	runs     context.Context
-	stopRuns context.CancelFunc
-	// late tracks what goes on after a caller was answered.
-	late sync.WaitGroup
+	// attemptsCtx is cancelled when attempts in progress must be aborted.
+	attemptsCtx    context.Context
+	cancelAttempts context.CancelFunc
+	// backgroundTasks tracks work that continues after the caller was answered.
+	backgroundTasks sync.WaitGroup
 
-	// grow serialises additions to services, which is replaced as a whole.
-	grow     sync.Mutex
-	services atomic.Pointer[map[string]*service]
+	// servicesMu serialises additions to services. The map is copied on write.
+	servicesMu sync.Mutex
+	services   atomic.Pointer[map[string]*service]
 
-	// hostsRead is closed when the endpoints are known.
-	hostsRead chan struct{}
-	hostsOnce sync.Once
+	// hostsLoaded is closed after the first successful read of the host list.
+	hostsLoaded     chan struct{}
+	hostsLoadedOnce sync.Once
 
-	metrics *meters
+	metrics *requestMetrics
 }
 
-// New returns an entry over the node.
+// New returns an entry on top of config.Node. Call Run to start it.
 func New(config Config) *Entry {
 	if config.MaxBody == 0 {
 		config.MaxBody = math.MaxInt64
 	}
-	runs, stopRuns := context.WithCancel(context.Background())
+	attemptsCtx, cancelAttempts := context.WithCancel(context.Background())
 	e := &Entry{
-		config:      config,
-		node:        config.Node,
-		permits:     newPermits(config.Node.Ledger(), config.Node.RequestPermits),
-		claims:      newClaims(config.Node, config.ClaimRetention),
-		forwarder:   newForwarder(connectionsPerEndpoint),
-		runs:        runs,
-		stopRuns:    stopRuns,
-		hostsRead:   make(chan struct{}),
-		outstanding: &outstanding{},
-		metrics:     newMeters(),
+		config:         config,
+		node:           config.Node,
+		permits:        newPermits(config.Node.Ledger(), config.Node.RequestPermits),
+		claims:         newClaims(config.Node, config.ClaimRetention),
+		forwarder:      newForwarder(maxConnectionsPerEndpoint),
+		attemptsCtx:    attemptsCtx,
+		cancelAttempts: cancelAttempts,
+		hostsLoaded:    make(chan struct{}),
+		outstanding:    &outstanding{},
+		metrics:        newRequestMetrics(),
 	}
 	e.services.Store(&map[string]*service{})
-	e.said.interval = config.Node.GossipInterval() * sayingsShare / 100
-	e.claims.background = e.background
+	e.gossipCache.interval = config.Node.GossipInterval() * gossipCachePercent / 100
+	e.claims.runInBackground = e.runInBackground
 	e.charges = newCharges(config.Node, config.Log)
-	e.books = &books{claims: e.claims, charges: e.charges, background: e.background}
+	e.outcomes = &outcomeRecorder{claims: e.claims, charges: e.charges, runInBackground: e.runInBackground}
 	return e
 }
 
-// now returns the time; decisions take it as an argument.
 func (e *Entry) now() time.Time { return time.Now() }
 
-// background runs what need not hold up a caller.
-func (e *Entry) background(do func(ctx context.Context)) {
-	e.late.Go(func() { do(e.runs) })
+// runInBackground runs fn in a goroutine that Drain waits for.
+func (e *Entry) runInBackground(fn func(ctx context.Context)) {
+	e.backgroundTasks.Go(func() { fn(e.attemptsCtx) })
 }
 
-// Run drives queues, claims, charges and the view of endpoints until the
-// context ends, then delivers one error.
+// Run runs the loops for claims, charges, scheduling and host polling until the
+// context ends. The returned channel then delivers one error.
 func (e *Entry) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -156,31 +162,32 @@
 	return done
 }
 
-// AwaitReady waits until the entry knows endpoints, and for a bounded time
-// until it holds permits of every team; there may be none to spare.
+// AwaitReady waits until the entry has read the host list, and then for at most
+// permitsTimeout until it holds permits of every team. Permits may be missing
+// after that, because the peers may have none to spare.
 func (e *Entry) AwaitReady(ctx context.Context) error {
 	select {
-	case <-e.hostsRead:
+	case <-e.hostsLoaded:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	until := e.now().Add(permitsPatience)
-	for !e.hasPermits() && e.now().Before(until) {
+	deadline := e.now().Add(permitsTimeout)
+	for !e.hasAllPermits() && e.now().Before(deadline) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(permitsPoll):
+		case <-time.After(permitsPollInterval):
 		}
 	}
 	return nil
 }
 
-// hasPermits reports whether the entry holds permits of every team, and asks
-// for those that it lacks.
-func (e *Entry) hasPermits() bool {
+// hasAllPermits reports whether the entry holds an idle permit of every team,
+// and requests the missing ones.
+func (e *Entry) hasAllPermits() bool {
 	all := true
 	for team := range e.node.Configuration().View().State.Catalogue.Teams {
-		if available(e.node.Ledger(), team) {
+		if hasIdlePermit(e.node.Ledger(), team) {
 			continue
 		}
 		all = false
@@ -196,22 +203,22 @@
 	return all
 }
 
-// Drain waits for attempts that nobody waits for any more, until the context
-// ends, and then gives up those that are left.
+// Drain waits for the work that continues after callers were answered. When the
+// context ends, it aborts the attempts that are left.
 func (e *Entry) Drain(ctx context.Context) error {
-	settled := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
-		e.late.Wait()
+		e.backgroundTasks.Wait()
 		e.forwarder.close()
-		close(settled)
+		close(drained)
 	}()
 	select {
-	case <-settled:
-		e.stopRuns()
+	case <-drained:
+		e.cancelAttempts()
 		return nil
 	case <-ctx.Done():
-		e.stopRuns()
-		<-settled
+		e.cancelAttempts()
+		<-drained
 		return ctx.Err()
 	}
 }
@@ -221,22 +228,23 @@
 	started := e.now()
 	c, problem := e.serve(w, r, started)
 	if problem == nil {
-		e.metrics.answered(c, e.now().Sub(started))
+		e.metrics.observeResponse(c, e.now().Sub(started))
 		return
 	}
 	problem.RequestID = c.id
-	e.metrics.refused(problem)
-	e.config.Log.Debug("request answered by the entry",
+	e.metrics.countProblem(problem)
+	e.config.Log.Debug("request answered with a problem",
 		"request-id", c.id, "reason", problem.Reason, "outcome", problem.Outcome, "service", c.entry.Name, "team", c.team)
 	writeProblem(w, problem)
 }
 
-// serve handles one request; nil means that the caller has its answer.
+// serve handles one request. It returns a nil problem if the response has been
+// written.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, now time.Time) (*call, *api.Problem) {
 	view := e.node.Configuration().View()
 	if !view.Fresh(now) {
 		c := &call{id: newID()}
-		return c, busy("configuration-stale", "it is not known whether keys were withdrawn", comeBackSoon)
+		return c, unavailableProblem("configuration-stale", "it is not known whether keys were withdrawn", defaultRetryAfter)
 	}
 	c, refusal := checkCall(&view.State, e.config.MaxBody, w, r, now)
 	if refusal != nil {
@@ -245,58 +253,58 @@
 	if c.entry.Kind == catalogue.KindQueue {
 		return c, e.serveQueue(w, c)
 	}
-	if c.marked() {
-		return c, e.serveMarked(w, c)
+	if c.isIdempotent() {
+		return c, e.serveIdempotent(w, c)
 	}
 	adm, refusal := e.admit(c, e.service(c.entry.Name))
 	if refusal != nil {
 		return c, refusal
 	}
-	return c, e.run(w, c, adm)
+	return c, e.dispatch(w, c, adm)
 }
 
-// service returns the service's state, made at its first use.
+// service returns the state of the named service and creates it on first use.
 func (e *Entry) service(name string) *service {
 	if s, ok := (*e.services.Load())[name]; ok {
 		return s
 	}
-	e.grow.Lock()
-	defer e.grow.Unlock()
+	e.servicesMu.Lock()
+	defer e.servicesMu.Unlock()
 	services := *e.services.Load()
 	if s, ok := services[name]; ok {
 		return s
 	}
 	self := e.node.Self()
 	s := newService(self.Name, self.DataCentre, self.Incarnation+uint64(len(services)), e.outstanding)
-	grown := maps.Clone(services)
-	grown[name] = s
-	e.services.Store(&grown)
+	updated := maps.Clone(services)
+	updated[name] = s
+	e.services.Store(&updated)
 	return s
 }
 
-// eachService calls do for every known service.
-func (e *Entry) eachService(do func(name string, s *service)) {
+func (e *Entry) forEachService(fn func(name string, s *service)) {
 	for name, s := range *e.services.Load() {
-		do(name, s)
+		fn(name, s)
 	}
 }
 
-// scheduleLoop lets queues refuse in time and take up new slots.
+// scheduleLoop ticks the services, so that queued requests are started or
+// refused in time.
 func (e *Entry) scheduleLoop(ctx context.Context) {
-	ticker := time.NewTicker(scheduleTick)
+	ticker := time.NewTicker(scheduleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			e.eachService(func(_ string, s *service) { s.tick(e.now()) })
+			e.forEachService(func(_ string, s *service) { s.tick(e.now()) })
 		}
 	}
 }
 
 // PermitsChanged implements node.Part.
-func (e *Entry) PermitsChanged() { e.permits.pumpAll() }
+func (e *Entry) PermitsChanged() { e.permits.serveAllWaiters() }
 
 // RosterChanged implements node.Part.
 func (e *Entry) RosterChanged(members roster.Roster, rowVersion uint64) {
@@ -304,8 +312,9 @@
 	e.charges.rosterChanged(members)
 }
 
-// HandOver passes the idle permits to another entry, for a planned stop.
+// HandOver transfers the idle permits to another entry before a planned stop.
 func (e *Entry) HandOver(ctx context.Context) { e.node.HandOver(ctx) }
 
-// Flush waits until the table has this entry's charges.
+// Flush waits until all charges of this entry are in the table, or the context
+// ends.
 func (e *Entry) Flush(ctx context.Context) { e.charges.flush(ctx) }
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -30,24 +30,24 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fixture is one entry over a table in memory and endpoints of the test's.
+// fixture is an entry with an in-memory table and the test's endpoints.
 type fixture struct {
-	t       testing.TB
-	store   *table.Memory
-	node    *node.Node
-	entry   *Entry
-	server  *httptest.Server
-	client  *http.Client
-	keys    map[string]string
-	hosts   []platform.Host
-	handled atomic.Int64
+	t      testing.TB
+	store  *table.Memory
+	node   *node.Node
+	entry  *Entry
+	server *httptest.Server
+	client *http.Client
+	keys   map[string]string
+	hosts  []platform.Host
+	runs   atomic.Int64
 }
 
 // Hosts implements HostLister.
 func (f *fixture) Hosts(context.Context) ([]platform.Host, error) { return f.hosts, nil }
 
-// newFixture starts an entry for service "orders" of team "tackle", whose
-// endpoints are served by the handlers.
+// newFixture starts an entry for the service "orders" of the team "tackle".
+// Each handler serves one endpoint.
 func newFixture(t testing.TB, endpoints ...http.HandlerFunc) *fixture {
 	t.Helper()
 	f := &fixture{t: t, store: table.NewMemory(), keys: make(map[string]string)}
@@ -55,7 +55,7 @@
 		Identity: roster.Identity{Name: "entry-1", Incarnation: 1}, Host: "host-1",
 		Role: roster.RoleEntry, Address: netip.MustParseAddrPort("127.0.0.1:1"), State: roster.StateActive,
 	}
-	f.configure()
+	f.commitCatalogue()
 	for _, handler := range endpoints {
 		f.addEndpoint(handler)
 	}
@@ -66,13 +66,14 @@
 	})
 	f.entry = New(Config{Node: f.node, Hosts: f, Log: logger, ClaimRetention: time.Hour})
 	f.node.Add(f.entry)
-	f.grant(8)
+	f.allocatePermits(8)
 	f.start()
 	return f
 }
 
-// configure commits a catalogue with two teams and a key for each.
-func (f *fixture) configure() {
+// commitCatalogue commits a catalogue with two teams, a key for each, and the
+// service "orders".
+func (f *fixture) commitCatalogue() {
 	ctx := context.Background()
 	_, err := revision.Transaction(ctx, f.store, revision.Operation{}, func(state revision.State) (revision.State, error) {
 		state.Catalogue = state.Catalogue.Clone()
@@ -96,9 +97,9 @@
 	}
 }
 
-// limitOrders bounds what service "orders" runs at once, and waits until the
-// entry follows.
-func (f *fixture) limitOrders(limit int) {
+// setServiceLimit sets the limit of the service "orders" and waits until the
+// entry applies it.
+func (f *fixture) setServiceLimit(limit int) {
 	f.t.Helper()
 	_, err := revision.Transaction(context.Background(), f.store, revision.Operation{}, func(state revision.State) (revision.State, error) {
 		state.Catalogue = state.Catalogue.Clone()
@@ -111,13 +112,13 @@
 		f.t.Fatal(err)
 	}
 	f.node.PollNow()
-	f.eventually("the entry follows the limit", func() bool {
+	f.eventually("the entry applies the limit", func() bool {
 		return f.entry.Snapshot().Services["orders"].Capacity == limit
 	})
 }
 
-// grant mints the team's permits to the entry.
-func (f *fixture) grant(n int) {
+// allocatePermits grants n permits of the team "tackle" to the entry.
+func (f *fixture) allocatePermits(n int) {
 	row, err := json.Marshal(limit.Allocation{
 		Team: "tackle", Generation: 1, Limit: n, Granted: map[limit.Member]int{f.node.Member(): n},
 	})
@@ -130,10 +131,10 @@
 	}
 }
 
-// addEndpoint serves one more endpoint.
+// addEndpoint adds an endpoint that the handler serves.
 func (f *fixture) addEndpoint(handler http.HandlerFunc) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.handled.Add(1)
+		f.runs.Add(1)
 		handler(w, r)
 	}))
 	f.t.Cleanup(server.Close)
@@ -143,7 +144,8 @@
 	}}})
 }
 
-// start joins, serves, and stops everything when the test ends.
+// start joins the roster and serves requests. Everything stops when the test
+// ends.
 func (f *fixture) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	running := f.entry.Run(ctx)
@@ -151,14 +153,14 @@
 		f.t.Fatal(err)
 	}
 	loops := f.node.Run(ctx)
-	f.entry.readHosts(ctx)
-	f.entry.eachService(func(_ string, s *service) { s.tick(time.Now()) })
+	f.entry.refreshHosts(ctx)
+	f.entry.forEachService(func(_ string, s *service) { s.tick(time.Now()) })
 	f.server = httptest.NewServer(f.entry)
 	f.client = &http.Client{Transport: &http.Transport{}}
 	f.t.Cleanup(func() {
 		f.client.CloseIdleConnections()
 		f.server.Close()
-		f.entry.stopRuns()
+		f.entry.cancelAttempts()
 		_ = f.entry.Drain(context.Background())
 		cancel()
 		<-running
@@ -166,15 +168,15 @@
 	})
 }
 
-// call is one request of a test.
-type testCall struct {
+// testRequest is one request of a test. Empty fields get defaults.
+type testRequest struct {
 	method, path, key, body string
 	header                  map[string]string
 }
 
-// do sends the call and returns the status, the body, and the problem if the
-// entry made the answer itself.
-func (f *fixture) do(c testCall) (status int, body string, problem api.Problem, err error) {
+// do sends the request. It returns the status, the body, and the problem if the
+// entry responded with one.
+func (f *fixture) do(c testRequest) (status int, body string, problem api.Problem, err error) {
 	if c.method == "" {
 		c.method = http.MethodPost
 	}
@@ -194,21 +196,21 @@
 	for name, value := range c.header {
 		request.Header.Set(name, value)
 	}
-	answer, err := f.client.Do(request)
+	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, "", api.Problem{}, err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
-	if answer.Header.Get("Content-Type") == api.ProblemType {
-		if err := json.Unmarshal(text, &problem); err != nil {
-			f.t.Fatalf("problem %q does not decode: %v", text, err)
+	defer response.Body.Close()
+	content, err := io.ReadAll(response.Body)
+	if response.Header.Get("Content-Type") == api.ProblemType {
+		if err := json.Unmarshal(content, &problem); err != nil {
+			f.t.Fatalf("problem %q does not decode: %v", content, err)
 		}
 	}
-	return answer.StatusCode, string(text), problem, err
+	return response.StatusCode, string(content), problem, err
 }
 
-// eventually waits for a condition that only background work delays.
+// eventually waits for a condition that background work makes true.
 func (f *fixture) eventually(what string, condition func() bool) {
 	f.t.Helper()
 	for range 1000 {
@@ -220,5 +222,5 @@
 	f.t.Fatalf("%s: got no, want yes", what)
 }
 
-// inUse returns the permits of team "tackle" in use.
-func (f *fixture) inUse() int { return f.node.Ledger().Status("tackle").InUse }
+// permitsInUse returns the number of permits of the team "tackle" in use.
+func (f *fixture) permitsInUse() int { return f.node.Ledger().Status("tackle").InUse }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -19,24 +19,26 @@
 )
 
 const (
-	// maxAnswerPrefix is how many bytes of an answer are read before its
-	// header goes to the caller; a cut within them can still be reported.
-	maxAnswerPrefix = 64 << 10
+	// maxResponsePrefix is how many bytes of a response are read before its
+	// header is sent to the caller. If the body breaks off within them, the
+	// caller still gets a problem instead of a broken response.
+	maxResponsePrefix = 64 << 10
 	// dialTimeout bounds connecting to an endpoint.
 	dialTimeout = time.Second
-	// idleConnTimeout closes unused connections to endpoints.
+	// idleConnTimeout is when idle connections to endpoints are closed.
 	idleConnTimeout = 30 * time.Second
-	// maxEndpointHeader bounds an answer's header, in bytes.
-	maxEndpointHeader = 256 << 10
+	// maxResponseHeader bounds the header of an endpoint's response, in bytes.
+	maxResponseHeader = 256 << 10
 )
 
-// errUndelimited means that the end of the answer cannot be told from a cut.
-var errUndelimited = errors.New("answer has neither a length nor chunks")
+// errUndelimited means that the end of the body cannot be told from a closed
+// connection.
+var errUndelimited = errors.New("endpoint's response has neither a Content-Length nor chunked encoding")
 
 // forwarder sends attempts to endpoints.
 type forwarder struct {
 	transport *http.Transport
-	flights   sync.WaitGroup
+	inFlight  sync.WaitGroup
 }
 
 // newForwarder returns a forwarder that opens at most maxConns connections to
@@ -48,69 +50,71 @@
 		MaxConnsPerHost:        maxConns,
 		MaxIdleConnsPerHost:    maxConns,
 		IdleConnTimeout:        idleConnTimeout,
-		MaxResponseHeaderBytes: maxEndpointHeader,
+		MaxResponseHeaderBytes: maxResponseHeader,
 		DisableCompression:     true,
 	}}
 }
 
 // attempt is one request to one endpoint.
 type attempt struct {
-	run      charge.RunID
+	runID    charge.RunID
 	endpoint netip.AddrPort
 	started  time.Time
 
-	// sent is true once a byte of the request may have gone out.
+	// sent is true once a byte of the request may have been sent.
 	sent   atomic.Bool
 	cancel context.CancelFunc
 }
 
-// reply is how an attempt ended: an error, or an answer with its first bytes.
-type reply struct {
+// attemptResult is the result of an attempt: an error, or a response with the
+// first bytes of its body.
+type attemptResult struct {
 	response *http.Response
 	prefix   []byte
-	// whole is true when prefix is the complete body.
-	whole bool
-	err   error
+	// complete is true if prefix is the whole body.
+	complete bool
+	err      error
 }
 
-// start sends the request in a goroutine of its own and delivers one reply on
-// the channel. The context bounds the run, not the caller's patience.
-func (f *forwarder) start(ctx context.Context, a *attempt, request *http.Request) <-chan reply {
-	replies := make(chan reply, 1)
+// send sends the request in its own goroutine and delivers one result on the
+// channel. The context bounds the run, which may outlast the caller's deadline.
+func (f *forwarder) send(ctx context.Context, a *attempt, request *http.Request) <-chan attemptResult {
+	results := make(chan attemptResult, 1)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { a.sent.Store(true) }}
 	request = request.WithContext(httptrace.WithClientTrace(ctx, trace))
-	f.flights.Go(func() { replies <- f.roundTrip(request) })
-	return replies
+	f.inFlight.Go(func() { results <- f.roundTrip(request) })
+	return results
 }
 
-// roundTrip sends the request and reads the first bytes of the answer.
-func (f *forwarder) roundTrip(request *http.Request) reply {
+// roundTrip sends the request and reads the first bytes of the response.
+func (f *forwarder) roundTrip(request *http.Request) attemptResult {
 	response, err := f.transport.RoundTrip(request)
 	if err != nil {
-		return reply{err: err}
+		return attemptResult{err: err}
 	}
 	if !delimited(response) {
 		_ = response.Body.Close()
-		return reply{err: errUndelimited}
+		return attemptResult{err: errUndelimited}
 	}
-	prefix, whole, err := readPrefix(response)
+	prefix, complete, err := readPrefix(response)
 	if err != nil {
 		_ = response.Body.Close()
-		return reply{err: err}
+		return attemptResult{err: err}
 	}
-	if whole {
+	if complete {
 		_ = response.Body.Close()
 	}
-	return reply{response: response, prefix: prefix, whole: whole}
+	return attemptResult{response: response, prefix: prefix, complete: complete}
 }
 
-// close waits for the attempts under way and drops the connections.
+// close waits for the attempts in flight and closes idle connections.
 func (f *forwarder) close() {
-	f.flights.Wait()
+	f.inFlight.Wait()
 	f.transport.CloseIdleConnections()
 }
 
-// delimited reports whether a cut of the body can be told from its end.
+// delimited reports whether the end of the body can be told from a connection
+// that was closed early.
 func delimited(response *http.Response) bool {
 	if response.ContentLength >= 0 || len(response.TransferEncoding) > 0 {
 		return true
@@ -118,14 +122,15 @@
 	return response.Request.Method == http.MethodHead || response.Body == http.NoBody
 }
 
-// readPrefix reads up to maxAnswerPrefix bytes; whole is true at the body's end.
-func readPrefix(response *http.Response) (prefix []byte, whole bool, err error) {
-	size := int64(maxAnswerPrefix)
+// readPrefix reads up to maxResponsePrefix bytes. complete is true if the body
+// has ended.
+func readPrefix(response *http.Response) (prefix []byte, complete bool, err error) {
+	size := int64(maxResponsePrefix)
 	if length := response.ContentLength; length >= 0 && length < size {
 		size = length
 	}
 	buffer := bytes.NewBuffer(make([]byte, 0, size+bytes.MinRead))
-	_, err = io.CopyN(buffer, response.Body, maxAnswerPrefix)
+	_, err = io.CopyN(buffer, response.Body, maxResponsePrefix)
 	switch {
 	case err == nil:
 		return buffer.Bytes(), false, nil
@@ -136,17 +141,17 @@
 	}
 }
 
-// onceBody keeps net/http from sending a request again by itself: a request
-// whose body cannot be rewound is never replayed, even when it is empty.
-type onceBody struct {
+// nonReplayableBody keeps net/http from retrying a request by itself: net/http
+// never replays a request whose body cannot be rewound, even if it is empty.
+type nonReplayableBody struct {
 	io.Reader
 }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// outgoing builds the request for an endpoint from the caller's.
-func outgoing(c *call, a *attempt) *http.Request {
+// endpointRequest builds the request to the endpoint from the caller's request.
+func endpointRequest(c *call, a *attempt) *http.Request {
 	target := &url.URL{
 		Scheme:   "http",
 		Host:     a.endpoint.String(),
@@ -154,9 +159,9 @@
 		RawPath:  c.rawPath,
 		RawQuery: c.request.URL.RawQuery,
 	}
-	header := endToEnd(c.request.Header)
+	header := endToEndHeader(c.request.Header)
 	header.Del("Authorization")
-	header.Set(headerRun, a.run.String())
+	header.Set(headerRun, a.runID.String())
 	header.Set(headerTeam, c.team)
 	header.Set(headerRequest, c.id)
 	out := &http.Request{
@@ -165,11 +170,11 @@
 		Trailer: c.request.Trailer,
 	}
 	if c.stream != nil {
-		out.Body = onceBody{c.stream}
+		out.Body = nonReplayableBody{c.stream}
 		out.ContentLength = c.request.ContentLength
 		return out
 	}
-	out.Body = onceBody{bytes.NewReader(c.body)}
+	out.Body = nonReplayableBody{bytes.NewReader(c.body)}
 	out.ContentLength = int64(len(c.body))
 	return out
 }
--- a/internal/entry/forward_bench_test.go
+++ b/internal/entry/forward_bench_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// endpointTime is how long the endpoint of a benchmark works.
-	endpointTime = 5 * time.Millisecond
+	// serviceTime is the time the endpoint takes for a request.
+	serviceTime = 5 * time.Millisecond
 	// halfLoad is half of the endpoint's slots.
 	halfLoad = 4
 )
 
-// BenchmarkThrough sends requests by turns through an entry and straight to
-// the endpoint, at half of the endpoint's slots.
-func BenchmarkThrough(b *testing.B) {
+// BenchmarkForward compares the latency of requests through an entry with that
+// of requests directly to the endpoint, at half of the endpoint's slots.
+func BenchmarkForward(b *testing.B) {
 	f := newFixture(b, func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(endpointTime)
+		time.Sleep(serviceTime)
 		_, _ = io.WriteString(w, "stocked")
 	})
-	straight := "http://" + f.hosts[0].Endpoints[0].Address.String() + "/restock"
-	targets := map[string]string{"straight": straight, "through": f.server.URL + "/orders/restock"}
+	directURL := "http://" + f.hosts[0].Endpoints[0].Address.String() + "/restock"
+	targets := map[string]string{"straight": directURL, "through": f.server.URL + "/orders/restock"}
 	var mu sync.Mutex
 	took := map[string]*hdr.Histogram{}
 	for name := range targets {
@@ -61,7 +61,7 @@
 	}
 }
 
-// get makes one request with the team's key.
+// get sends one request with the team's key.
 func (f *fixture) get(url string) {
 	request, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
@@ -69,28 +69,28 @@
 		return
 	}
 	request.Header.Set("Authorization", "Bearer "+f.keys["tackle"])
-	answer, err := f.client.Do(request)
+	response, err := f.client.Do(request)
 	if err != nil {
 		f.t.Error(err)
 		return
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.StatusCode != http.StatusOK {
-		f.t.Errorf("got status %d and %v, want 200", answer.StatusCode, err)
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusOK {
+		f.t.Errorf("got status %d and %v, want 200", response.StatusCode, err)
 	}
 }
 
-// zeros is an endless body.
-type zeros struct{}
+// zeroReader is an endless body of zeros.
+type zeroReader struct{}
 
 // Read implements io.Reader.
-func (zeros) Read(p []byte) (int, error) {
+func (zeroReader) Read(p []byte) (int, error) {
 	clear(p)
 	return len(p), nil
 }
 
-// BenchmarkBody sends a body through an entry and reports the greatest heap
-// meanwhile, of caller, entry and endpoint together, over the heap before.
+// BenchmarkBody sends a body through an entry and reports how much the heap
+// grows at its peak. The heap includes the caller, the entry and the endpoint.
 func BenchmarkBody(b *testing.B) {
 	for _, way := range []string{"request", "answer"} {
 		for _, megabytes := range []int64{25, 50, 100, 200} {
@@ -105,7 +105,7 @@
 	f := newFixture(b, func(w http.ResponseWriter, r *http.Request) {
 		if answer {
 			w.Header().Set("Content-Length", fmt.Sprint(size))
-			_, _ = io.CopyN(w, zeros{}, size)
+			_, _ = io.CopyN(w, zeroReader{}, size)
 			return
 		}
 		if n, err := io.Copy(io.Discard, r.Body); err != nil || n != size {
@@ -119,13 +119,13 @@
 	var before runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	greatest := uint64(0)
+	peak := uint64(0)
 	b.SetBytes(size)
 	for b.Loop() {
 		stop := make(chan struct{})
-		seen := make(chan uint64)
-		go func() { seen <- greatestHeap(stop) }()
-		request, err := http.NewRequest(http.MethodPost, f.server.URL+"/orders/plan", io.LimitReader(zeros{}, sent))
+		peaks := make(chan uint64)
+		go func() { peaks <- peakHeap(stop) }()
+		request, err := http.NewRequest(http.MethodPost, f.server.URL+"/orders/plan", io.LimitReader(zeroReader{}, sent))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -141,21 +141,21 @@
 		}
 		_ = response.Body.Close()
 		close(stop)
-		greatest = max(greatest, <-seen)
+		peak = max(peak, <-peaks)
 	}
-	b.ReportMetric((float64(greatest)-float64(before.HeapInuse))/1e6, "heap-growth-MB")
+	b.ReportMetric((float64(peak)-float64(before.HeapInuse))/1e6, "heap-growth-MB")
 }
 
-// greatestHeap samples the heap until stop is closed.
-func greatestHeap(stop <-chan struct{}) uint64 {
+// peakHeap samples the heap size until stop is closed and returns the maximum.
+func peakHeap(stop <-chan struct{}) uint64 {
 	var stats runtime.MemStats
-	greatest := uint64(0)
+	peak := uint64(0)
 	for {
 		runtime.ReadMemStats(&stats)
-		greatest = max(greatest, stats.HeapInuse)
+		peak = max(peak, stats.HeapInuse)
 		select {
 		case <-stop:
-			return greatest
+			return peak
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -17,9 +17,10 @@
 
 const maxFuzzBody = 100
 
-// FuzzCheckCall sends any caller's headers and body. A call is either refused
-// with a whole problem, or it has a team that may use the entry, a deadline
-// within bounds, and its whole body; the caller's key never goes on.
+// FuzzCheckCall checks requests with arbitrary headers and body. A request is
+// either refused with a complete problem, or it has a team that may use the
+// service, a deadline within bounds, and its complete body. The caller's key is
+// never forwarded to an endpoint.
 func FuzzCheckCall(f *testing.F) {
 	seeds := [][]string{
 		{"/orders/restock", "k", "", "", "two spools", ""},
@@ -58,11 +59,11 @@
 			presented = secret.Reveal()
 		}
 		r := &http.Request{Method: http.MethodPost, URL: parsed, Header: http.Header{}, Body: http.NoBody, ContentLength: int64(len(body))}
-		r.Body = onceBody{strings.NewReader(body)}
+		r.Body = nonReplayableBody{strings.NewReader(body)}
 		if chunked {
 			r.ContentLength = -1
 		}
-		for name, value := range map[string]string{"Authorization": "Bearer " + presented, headerDeadline: deadline, headerKey: idempotency, "Connection": connection} {
+		for name, value := range map[string]string{"Authorization": "Bearer " + presented, headerDeadline: deadline, headerIdempotencyKey: idempotency, "Connection": connection} {
 			r.Header.Set(name, value)
 		}
 		now := time.Unix(1_000_000, 0)
@@ -72,15 +73,15 @@
 			return
 		}
 		checkAccepted(t, c, body, now)
-		for _, values := range outgoing(c, &attempt{}).Header {
+		for _, values := range endpointRequest(c, &attempt{}).Header {
 			if slices.ContainsFunc(values, func(value string) bool { return strings.Contains(value, secret.Reveal()) }) {
-				t.Error("the endpoint gets the caller's key")
+				t.Error("request to the endpoint: contains the caller's key, want none")
 			}
 		}
 	})
 }
 
-// checkRefusal checks that a caller can read and act on the problem.
+// checkRefusal checks that the problem tells the caller what went wrong.
 func checkRefusal(t *testing.T, refusal *api.Problem) {
 	t.Helper()
 	if refusal.Status < 400 || refusal.Status >= 500 || refusal.Reason == "" || refusal.Outcome != api.OutcomeNotRun {
@@ -93,19 +94,19 @@
 	}
 }
 
-// checkAccepted checks a call that goes on to admission.
+// checkAccepted checks a call that is passed on to admission.
 func checkAccepted(t *testing.T, c *call, body string, now time.Time) {
 	t.Helper()
 	if got, want := c.team, "tackle"; got != want || !c.entry.Admits(got) {
 		t.Errorf("team: got %q at %q, want %q", got, c.entry.Name, want)
 	}
-	if patience := c.deadline.Sub(now); patience <= 0 || patience > maxDeadline {
-		t.Errorf("deadline: got %s, want up to %s", patience, maxDeadline)
+	if timeout := c.deadline.Sub(now); timeout <= 0 || timeout > maxDeadline {
+		t.Errorf("deadline: got %s, want up to %s", timeout, maxDeadline)
 	}
 	if got := string(c.body); got != body || len(got) > maxFuzzBody {
 		t.Errorf("body: got %q, want %q", got, body)
 	}
-	if !strings.HasPrefix(c.path, "/") || len(c.key) > maxKeyLength {
-		t.Errorf("got path %q and key %q", c.path, c.key)
+	if !strings.HasPrefix(c.path, "/") || len(c.idempotencyKey) > maxIdempotencyKeyLength {
+		t.Errorf("got path %q and key %q", c.path, c.idempotencyKey)
 	}
 }
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -11,67 +11,71 @@
 	"github.com/lovagedyke/lovagedyke/internal/share"
 )
 
-// Fill implements node.Part: it adds demand, load and what draining hosts run.
+// FillState implements node.Part. It adds the demand, the load and the number
+// of attempts at draining hosts.
 func (e *Entry) FillState(state *peerpb.State) {
-	state.Hosts = e.confirmations()
-	said := e.said.get(e.now(), e.collect)
-	state.Demands = said.demands
-	state.Loads = said.loads
+	state.Hosts = e.hostConfirmations()
+	data := e.gossipCache.get(e.now(), e.collectGossip)
+	state.Demands = data.demands
+	state.Loads = data.loads
 }
 
-// sayings is what the entry tells all its peers in one gossip interval. A
-// scheduler divides by the demand that it last published, so that all peers
-// must get the same.
-type sayings struct {
-	at      time.Time
-	demands []*peerpb.Demand
-	loads   []*peerpb.EndpointLoad
+// gossipData is what the entry sends to all its peers in one gossip interval.
+// All peers must get the same, because the scheduler divides slots by the
+// demand that it last published.
+type gossipData struct {
+	collectedAt time.Time
+	demands     []*peerpb.Demand
+	loads       []*peerpb.EndpointLoad
 }
 
-// sayingsCache keeps the sayings of the present interval.
-type sayingsCache struct {
+// gossipDataCache keeps the gossipData of the current interval.
+type gossipDataCache struct {
 	mu       sync.Mutex
 	interval time.Duration
-	current  sayings
+	current  gossipData
 }
 
-// get returns the sayings of the interval, collected anew when it is over.
-func (c *sayingsCache) get(now time.Time, collect func() sayings) sayings {
+// get returns the data of the current interval and collects it anew when the
+// interval is over.
+func (c *gossipDataCache) get(now time.Time, collect func() gossipData) gossipData {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.current.at) >= c.interval {
+	if now.Sub(c.current.collectedAt) >= c.interval {
 		c.current = collect()
-		c.current.at = now
+		c.current.collectedAt = now
 	}
 	return c.current
 }
 
-// collect takes the services' demand and load.
-func (e *Entry) collect() sayings {
-	var said sayings
-	e.eachService(func(name string, s *service) {
-		demand, loads := s.gossip()
-		said.demands = append(said.demands, demandMessage(name, demand))
+// collectGossip collects the demand and load of all services.
+func (e *Entry) collectGossip() gossipData {
+	var data gossipData
+	e.forEachService(func(name string, s *service) {
+		demand, loads := s.demandAndLoad()
+		data.demands = append(data.demands, demandMessage(name, demand))
 		for _, load := range loads {
-			said.loads = append(said.loads, &peerpb.EndpointLoad{
+			data.loads = append(data.loads, &peerpb.EndpointLoad{
 				Service: name, Address: load.Address.String(), InFlight: int32(load.InFlight),
 			})
 		}
 	})
-	return said
+	return data
 }
 
-// Busy implements node.Part: work runs or waits, or a host drains.
+// IsUrgent implements node.Part. It reports whether requests are running or
+// queued, or a host is out of service.
 func (e *Entry) IsUrgent() bool {
-	if len(e.confirmations()) > 0 {
+	if len(e.hostConfirmations()) > 0 {
 		return true
 	}
 	busy := false
-	e.eachService(func(_ string, s *service) { busy = busy || s.busy() })
+	e.forEachService(func(_ string, s *service) { busy = busy || s.isBusy() })
 	return busy
 }
 
-// Absorb implements node.Part: it takes another entry's demand and load.
+// ApplyState implements node.Part. It applies the demand and load of another
+// entry.
 func (e *Entry) ApplyState(from roster.Identity, state *peerpb.State) {
 	if !e.isEntry(from) {
 		return
@@ -80,11 +84,11 @@
 	now := e.now()
 	for _, demand := range state.GetDemands() {
 		service := demand.GetService()
-		e.service(service).setPeer(now, decodeDemand(from.Name, demand), loads[service])
+		e.service(service).setPeerState(now, decodeDemand(from.Name, demand), loads[service])
 	}
 }
 
-// demandMessage encodes one service's demand.
+// demandMessage encodes the demand for one service.
 func demandMessage(service string, demand share.Demand) *peerpb.Demand {
 	m := &peerpb.Demand{Service: service, Debt: demand.Debt}
 	for _, flow := range demand.Flows {
@@ -96,7 +100,7 @@
 	return m
 }
 
-// decodeDemand decodes one service's demand at the named entry.
+// decodeDemand decodes the named entry's demand for one service.
 func decodeDemand(entry string, m *peerpb.Demand) share.Demand {
 	demand := share.Demand{Entry: entry, Debt: m.GetDebt()}
 	for _, flow := range m.GetFlows() {
@@ -108,7 +112,7 @@
 	return demand
 }
 
-// loadsByService groups loads; an address that does not parse is left out.
+// loadsByService groups loads by service and skips addresses that do not parse.
 func loadsByService(loads []*peerpb.EndpointLoad) map[string][]route.EndpointLoad {
 	grouped := make(map[string][]route.EndpointLoad)
 	for _, load := range loads {
--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -8,24 +8,25 @@
 
 // Headers of the callers' interface and of the requests to endpoints.
 const (
-	headerDeadline = "Lovagedyke-Deadline"
-	headerKey      = "Idempotency-Key"
-	headerRun      = "Lovagedyke-Run"
-	headerTeam     = "Lovagedyke-Team"
-	headerRequest  = "Lovagedyke-Request"
-	headerOutcome  = "Lovagedyke-Outcome"
-	headerRepeated = "Lovagedyke-Repeated"
-	headerRefused  = "Lovagedyke-Endpoint-Refused"
+	headerDeadline       = "Lovagedyke-Deadline"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRun            = "Lovagedyke-Run"
+	headerTeam           = "Lovagedyke-Team"
+	headerRequest        = "Lovagedyke-Request"
+	headerOutcome        = "Lovagedyke-Outcome"
+	headerRepeated       = "Lovagedyke-Repeated"
+	headerRefused        = "Lovagedyke-Endpoint-Refused"
 )
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that apply to a single connection only (RFC
+// 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns a copy of the header without hop-by-hop fields.
-func endToEnd(header http.Header) http.Header {
+// endToEndHeader returns a copy of the header without hop-by-hop fields.
+func endToEndHeader(header http.Header) http.Header {
 	copied := header.Clone()
 	if copied == nil {
 		copied = make(http.Header)
@@ -35,7 +36,7 @@
 			copied.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		copied.Del(name)
 	}
 	return copied
--- a/internal/entry/header_test.go
+++ b/internal/entry/header_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestEndToEnd(t *testing.T) {
+func TestEndToEndHeader(t *testing.T) {
 	tests := map[string]struct {
 		header http.Header
 		want   http.Header
@@ -23,7 +23,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := endToEnd(tc.header); !reflect.DeepEqual(got, tc.want) {
+			if got := endToEndHeader(tc.header); !reflect.DeepEqual(got, tc.want) {
 				t.Errorf("got %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/entry/endpoints.go
+++ b/internal/entry/hosts.go
@@ -14,61 +14,61 @@
 	"github.com/lovagedyke/lovagedyke/internal/route"
 )
 
-// hostView is what the entry knows of hosts: the platform's list, which lags,
-// and our own assignments, which are known at once.
+// hostView is the entry's view of the hosts: the platform's list, which lags,
+// and the assignments to pools, which arrive without that lag.
 type hostView struct {
 	mu          sync.Mutex
 	hosts       []platform.Host
 	assignments map[string]pool.Assignment
-	// obeyed are the assignments that the pickers follow by now.
-	obeyed map[string]pool.Assignment
+	// applied are the assignments that the pickers already follow.
+	applied map[string]pool.Assignment
 }
 
-// hostsLoop follows the platform's list of hosts.
+// hostsLoop polls the platform's host list.
 func (e *Entry) hostsLoop(ctx context.Context) {
 	for {
-		e.readHosts(ctx)
+		e.refreshHosts(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(hostsInterval):
+		case <-time.After(hostPollInterval):
 		}
 	}
 }
 
-// readHosts takes the platform's list. When it cannot be read the last one
-// stays in force.
-func (e *Entry) readHosts(ctx context.Context) {
+// refreshHosts reads the platform's host list. On an error the previous list
+// stays in use.
+func (e *Entry) refreshHosts(ctx context.Context) {
 	hosts, err := e.config.Hosts.Hosts(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
-			e.config.Log.Debug("host list not read", "reason", err.Error())
+			e.config.Log.Debug("cannot read the platform's host list", "reason", err.Error())
 		}
 		return
 	}
-	e.view.mu.Lock()
-	e.view.hosts = hosts
-	e.view.mu.Unlock()
-	e.follow()
-	e.hostsOnce.Do(func() { close(e.hostsRead) })
+	e.hostView.mu.Lock()
+	e.hostView.hosts = hosts
+	e.hostView.mu.Unlock()
+	e.updateServices()
+	e.hostsLoadedOnce.Do(func() { close(e.hostsLoaded) })
 }
 
 // HostsChanged implements node.Part.
 func (e *Entry) HostsChanged(assignments map[string]pool.Assignment) {
-	e.view.mu.Lock()
-	e.view.assignments = assignments
-	e.view.mu.Unlock()
-	e.follow()
+	e.hostView.mu.Lock()
+	e.hostView.assignments = assignments
+	e.hostView.mu.Unlock()
+	e.updateServices()
 }
 
-// follow gives the pickers the endpoints and the schedulers the shares, and
-// notes which assignments are obeyed by then.
-func (e *Entry) follow() {
-	e.view.mu.Lock()
-	defer e.view.mu.Unlock()
+// updateServices updates the endpoints and weights of all services, and records
+// which assignments they follow.
+func (e *Entry) updateServices() {
+	e.hostView.mu.Lock()
+	defer e.hostView.mu.Unlock()
 	now := e.now()
-	endpoints := e.view.endpoints()
-	entries := e.activeEntries()
+	endpoints := e.hostView.endpoints()
+	entries := e.countActiveEntries()
 	state := e.node.Configuration().View().State
 	for name, entry := range state.Catalogue.Entries {
 		if entry.Kind != catalogue.KindService {
@@ -76,14 +76,15 @@
 		}
 		s := e.service(name)
 		s.setEndpoints(now, endpoints[name], entries, entry.Limit)
-		s.setWeights(now, weights(state.Catalogue, entry))
+		s.setWeights(now, teamWeights(state.Catalogue, entry))
 		s.tick(now)
 	}
-	e.view.obeyed = e.view.assignments
+	e.hostView.applied = e.hostView.assignments
 }
 
-// endpoints groups the endpoints by service; those of a host that the platform
-// or we take out of service are leaving.
+// endpoints groups the endpoints by service. The endpoints of a host that is
+// being taken out of service, by the platform or by its assignment, are marked
+// as leaving.
 func (v *hostView) endpoints() map[string][]route.Endpoint {
 	grouped := make(map[string][]route.Endpoint)
 	for _, host := range v.hosts {
@@ -101,20 +102,21 @@
 	return grouped
 }
 
-// confirmations tells of each host out of service how much may still run there.
-func (e *Entry) confirmations() []*peerpb.HostConfirmation {
-	e.view.mu.Lock()
-	defer e.view.mu.Unlock()
+// hostConfirmations returns, for each host out of service, the number of
+// attempts that may still be running there.
+func (e *Entry) hostConfirmations() []*peerpb.HostConfirmation {
+	e.hostView.mu.Lock()
+	defer e.hostView.mu.Unlock()
 	now := e.now()
-	addresses := e.view.addresses()
+	addresses := e.hostView.addresses()
 	var confirmations []*peerpb.HostConfirmation
-	for name, assignment := range e.view.obeyed {
+	for name, assignment := range e.hostView.applied {
 		if assignment.Phase == pool.Serving {
 			continue
 		}
 		inFlight := 0
 		for _, address := range addresses[name] {
-			inFlight += e.outstanding.at(address, now)
+			inFlight += e.outstanding.count(address, now)
 		}
 		confirmations = append(confirmations, &peerpb.HostConfirmation{
 			Host: name, Epoch: assignment.Epoch, InFlight: int32(inFlight),
@@ -123,7 +125,7 @@
 	return confirmations
 }
 
-// addresses returns the endpoints' addresses by host.
+// addresses returns the addresses of the endpoints by host.
 func (v *hostView) addresses() map[string][]netip.AddrPort {
 	byHost := make(map[string][]netip.AddrPort)
 	for _, host := range v.hosts {
@@ -134,14 +136,15 @@
 	return byHost
 }
 
-// activeEntries returns how many entries share the endpoints' connections.
-func (e *Entry) activeEntries() int {
+// countActiveEntries returns the number of entries that share the endpoints'
+// connections.
+func (e *Entry) countActiveEntries() int {
 	members, _ := e.node.Roster()
 	return max(1, len(members.Active()))
 }
 
-// weights returns each admitted team's weight for the entry.
-func weights(c catalogue.Catalogue, entry catalogue.Entry) map[string]float64 {
+// teamWeights returns the weight of each team that may use the catalogue entry.
+func teamWeights(c catalogue.Catalogue, entry catalogue.Entry) map[string]float64 {
 	byTeam := make(map[string]float64)
 	for team := range c.Teams {
 		if weight := c.Weight(entry, team); weight > 0 {
@@ -151,7 +154,7 @@
 	return byTeam
 }
 
-// isEntry reports whether the identity is an entry of the roster.
+// isEntry reports whether the roster lists the identity as an entry.
 func (e *Entry) isEntry(id roster.Identity) bool {
 	members, _ := e.node.Roster()
 	member, ok := members.Find(id.Name)
--- a/internal/entry/meters.go
+++ b/internal/entry/metrics.go
@@ -9,25 +9,26 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// meters counts what callers get.
-type meters struct {
+// requestMetrics counts the responses to callers.
+type requestMetrics struct {
 	set *metrics.Set
 }
 
-// newMeters returns counters that are part of the process's metrics.
-func newMeters() *meters {
+// newRequestMetrics returns metrics that are registered with those of the
+// process.
+func newRequestMetrics() *requestMetrics {
 	set := metrics.NewSet()
 	metrics.RegisterSet(set)
-	return &meters{set: set}
+	return &requestMetrics{set: set}
 }
 
-// answered counts an endpoint's answer that was passed on.
-func (m *meters) answered(c *call, took time.Duration) {
+// observeResponse counts an endpoint's response and its latency.
+func (m *requestMetrics) observeResponse(c *call, took time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`lovagedyke_entry_answers_total{service=%q,team=%q}`, c.entry.Name, c.team)).Inc()
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`lovagedyke_entry_answer_seconds{service=%q}`, c.entry.Name)).Update(took.Seconds())
 }
 
-// refused counts an answer of the entry's own.
-func (m *meters) refused(problem *api.Problem) {
+// countProblem counts a problem that the entry responded with.
+func (m *requestMetrics) countProblem(problem *api.Problem) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`lovagedyke_entry_problems_total{reason=%q,outcome=%q}`, problem.Reason, string(problem.Outcome))).Inc()
 }
--- a/internal/entry/outstanding.go
+++ b/internal/entry/outstanding.go
@@ -7,59 +7,62 @@
 	"time"
 )
 
-// outstanding counts the attempts at each endpoint that may still run: those
-// under way, and those without a known end until their longest run is over.
+// outstanding counts the attempts at each endpoint that may still be running:
+// those in progress, and those with an unknown end until their maximum run time
+// has passed.
 type outstanding struct {
-	// byEndpoint maps a netip.AddrPort to its *endpointWork, which has a lock of
-	// its own, so that requests to different endpoints share none.
+	// byEndpoint maps a netip.AddrPort to its *endpointAttempts, which has its
+	// own lock, so that requests to different endpoints do not contend.
 	byEndpoint sync.Map
 }
 
-// of returns the endpoint's count, made at its first use.
-func (o *outstanding) of(endpoint netip.AddrPort) *endpointWork {
-	if work, ok := o.byEndpoint.Load(endpoint); ok {
-		return work.(*endpointWork)
+// counter returns the endpoint's counter and creates it on first use.
+func (o *outstanding) counter(endpoint netip.AddrPort) *endpointAttempts {
+	if attempts, ok := o.byEndpoint.Load(endpoint); ok {
+		return attempts.(*endpointAttempts)
 	}
-	work, _ := o.byEndpoint.LoadOrStore(endpoint, &endpointWork{})
-	return work.(*endpointWork)
+	attempts, _ := o.byEndpoint.LoadOrStore(endpoint, &endpointAttempts{})
+	return attempts.(*endpointAttempts)
 }
 
-// begin counts an attempt.
+// begin counts a new attempt.
 func (o *outstanding) begin(endpoint netip.AddrPort) {
-	work := o.of(endpoint)
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	work.running++
+	attempts := o.counter(endpoint)
+	attempts.mu.Lock()
+	defer attempts.mu.Unlock()
+	attempts.running++
 }
 
-// end drops an attempt that is known to have ended.
+// end removes an attempt that is known to have ended.
 func (o *outstanding) end(endpoint netip.AddrPort) {
-	work := o.of(endpoint)
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	work.running--
+	attempts := o.counter(endpoint)
+	attempts.mu.Lock()
+	defer attempts.mu.Unlock()
+	attempts.running--
 }
 
 // linger keeps an attempt in the count until the given time.
 func (o *outstanding) linger(endpoint netip.AddrPort, until time.Time) {
-	work := o.of(endpoint)
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	work.running--
-	work.lingering = append(work.lingering, until)
+	attempts := o.counter(endpoint)
+	attempts.mu.Lock()
+	defer attempts.mu.Unlock()
+	attempts.running--
+	attempts.lingering = append(attempts.lingering, until)
 }
 
-// at returns the attempts at the endpoint that may still run.
-func (o *outstanding) at(endpoint netip.AddrPort, now time.Time) int {
-	work := o.of(endpoint)
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	work.lingering = slices.DeleteFunc(work.lingering, func(until time.Time) bool { return !until.After(now) })
-	return work.running + len(work.lingering)
+// count returns the number of attempts that may still be running at the
+// endpoint.
+func (o *outstanding) count(endpoint netip.AddrPort, now time.Time) int {
+	attempts := o.counter(endpoint)
+	attempts.mu.Lock()
+	defer attempts.mu.Unlock()
+	attempts.lingering = slices.DeleteFunc(attempts.lingering, func(until time.Time) bool { return !until.After(now) })
+	return attempts.running + len(attempts.lingering)
 }
 
-// endpointWork is the count of one endpoint.
-type endpointWork struct {
+// endpointAttempts counts the attempts at one endpoint. lingering holds the
+// times until which attempts with an unknown end are counted.
+type endpointAttempts struct {
 	mu        sync.Mutex
 	running   int
 	lingering []time.Time
--- a/internal/entry/peers.go
+++ b/internal/entry/peerservice.go
@@ -11,20 +11,20 @@
 	"github.com/lovagedyke/lovagedyke/internal/peer/peerpb"
 )
 
-// peerService answers the peer calls of an entry.
+// peerService serves the peer calls of an entry.
 type peerService struct {
 	*node.Service
 	entry *Entry
 }
 
-// Service returns the entry's answers to peers.
+// Service returns the server for calls from peers.
 func (e *Entry) Service() peerpb.Peer {
 	return &peerService{Service: e.node.Service(), entry: e}
 }
 
-// Claim decides as the home of an id.
+// Claim decides on a claim as the primary of its ID.
 func (s *peerService) Claim(ctx context.Context, request *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
-	answer, err := s.entry.claims.decide(ctx, peer.Claim(request))
+	answer, err := s.entry.claims.requestLocal(ctx, peer.Claim(request))
 	if err != nil {
 		return nil, unavailable(err)
 	}
@@ -35,29 +35,29 @@
 	return reply, nil
 }
 
-// Finish records how a granted attempt ended.
+// Finish records the outcome of a granted attempt.
 func (s *peerService) Finish(_ context.Context, request *peerpb.FinishRequest) (*peerpb.FinishReply, error) {
 	record, err := peer.Record(request.GetRecord())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("record", err.Error())
 	}
-	recorded := s.entry.claims.finishHere(record, claim.State(request.GetState()), peer.Result(request.GetResult()))
+	recorded := s.entry.claims.finishLocal(record, claim.State(request.GetState()), peer.Result(request.GetResult()))
 	return &peerpb.FinishReply{Recorded: recorded}, nil
 }
 
-// Release records that a granted attempt is never dispatched.
+// Release records that a granted attempt will never be dispatched.
 func (s *peerService) Release(_ context.Context, request *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
-	taken := s.entry.claims.releaseHere(peer.ClaimID(request.GetId()), peer.Token(request.GetToken()))
+	taken := s.entry.claims.releaseLocal(peer.ClaimID(request.GetId()), peer.Token(request.GetToken()))
 	return &peerpb.ReleaseReply{Taken: taken}, nil
 }
 
-// Mirror records a claim as its second holder.
+// Mirror records a claim as the secondary of its ID.
 func (s *peerService) Mirror(ctx context.Context, request *peerpb.MirrorRequest) (*peerpb.MirrorReply, error) {
 	record, err := peer.Record(request.GetRecord())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("record", err.Error())
 	}
-	confirm, err := s.entry.claims.mirror(ctx, claim.AskSecondary{
+	confirm, err := s.entry.claims.mirrorLocal(ctx, claim.AskSecondary{
 		To: s.entry.node.Self(), From: peer.Identity(request.GetFrom()),
 		Version: request.GetRosterVersion(), Record: record,
 	})
@@ -71,7 +71,7 @@
 	return &peerpb.MirrorReply{RosterVersion: confirm.Version, Record: encoded, Recorded: confirm.Recorded}, nil
 }
 
-// KeepCharges holds a peer's charges until the table has them.
+// KeepCharges holds a peer's charges until they are in the table.
 func (s *peerService) KeepCharges(_ context.Context, request *peerpb.KeepChargesRequest) (*peerpb.KeepChargesReply, error) {
 	entries, err := peer.Charges(request.GetEntries())
 	if err != nil {
@@ -81,14 +81,14 @@
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("forgotten", err.Error())
 	}
-	held, err := peer.ChargeMessages(s.entry.charges.hold(peer.Identity(request.GetFrom()), entries, forgotten))
+	held, err := peer.ChargeMessages(s.entry.charges.holdForPeer(peer.Identity(request.GetFrom()), entries, forgotten))
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	return &peerpb.KeepChargesReply{Held: held}, nil
 }
 
-// unavailable tells a peer that this process cannot answer now.
+// unavailable returns the error for a call that this process cannot serve now.
 func unavailable(err error) error {
 	return twirp.NewError(twirp.Unavailable, err.Error())
 }
--- a/internal/entry/permits.go
+++ b/internal/entry/permits.go
@@ -10,90 +10,96 @@
 const (
 	// maxPermitWaiters bounds the requests of one team that wait for a permit.
 	maxPermitWaiters = 256
-	// firstPermitWait stands for the time between releases until some are seen.
-	firstPermitWait = 50 * time.Millisecond
-	// gapSmoothing is the number of releases over which their gap is averaged.
-	gapSmoothing = 8
+	// defaultPermitWait is the assumed time between releases until some were
+	// observed. It is also the Retry-After when the wait for a permit times
+	// out, and the minimum Retry-After for repeats of an idempotent request.
+	defaultPermitWait = 50 * time.Millisecond
+	// releaseIntervalSmoothing is the number of releases over which their
+	// interval is averaged.
+	releaseIntervalSmoothing = 8
 )
 
-// permits lets requests wait for a permit of their team.
+// permits queues requests that wait for a permit of their team.
 type permits struct {
 	ledger *limit.Ledger
-	// short is told of a team without an idle permit, to ask peers for some.
-	short func(team string)
+	// requestMore is called with a team that has no idle permit, to request
+	// some from peers.
+	requestMore func(team string)
 
 	// teams maps a team's name to its *permitQueue.
 	teams sync.Map
 }
 
-// newPermits returns a queue for each team over the ledger.
-func newPermits(ledger *limit.Ledger, short func(team string)) *permits {
-	return &permits{ledger: ledger, short: short}
+// newPermits returns permits with a queue for each team of the ledger.
+func newPermits(ledger *limit.Ledger, requestMore func(team string)) *permits {
+	return &permits{ledger: ledger, requestMore: requestMore}
 }
 
-// acquire takes a permit at once, or returns a channel that is closed when one
-// was taken for the request. With neither, the request cannot get one before
-// its deadline and should come back after the time returned.
-func (p *permits) acquire(team string, now, deadline time.Time) (taken bool, wait chan struct{}, retryAfter time.Duration) {
+// acquire acquires a permit at once, or returns a channel that is closed when
+// the request has got one. With neither, the request cannot get a permit before
+// its deadline and should be retried after retryAfter.
+func (p *permits) acquire(team string, now, deadline time.Time) (acquired bool, wait chan struct{}, retryAfter time.Duration) {
 	if p.ledger.Acquire(team) {
 		return true, nil, 0
 	}
-	p.short(team)
-	return p.team(team).join(p.ledger, team, now, deadline)
+	p.requestMore(team)
+	return p.queue(team).enqueue(p.ledger, team, now, deadline)
 }
 
-// cancel gives up waiting; false means that the permit was taken already.
+// cancel stops waiting. It returns false if the request already has the permit.
 func (p *permits) cancel(team string, wait chan struct{}) bool {
-	return p.team(team).leave(wait)
+	return p.queue(team).remove(wait)
 }
 
-// release returns a permit whose work has ended.
+// release returns a permit whose work has ended and passes it to the next
+// waiter.
 func (p *permits) release(team string, now time.Time) {
 	p.ledger.Release(team)
-	queue := p.team(team)
-	queue.observe(now)
-	queue.pump(p.ledger, team)
+	queue := p.queue(team)
+	queue.recordRelease(now)
+	queue.serveWaiters(p.ledger, team)
 }
 
-// pump hands idle permits to those who wait, after permits came in.
-func (p *permits) pump(team string) {
-	p.team(team).pump(p.ledger, team)
+// serveWaiters gives the team's idle permits to its waiters.
+func (p *permits) serveWaiters(team string) {
+	p.queue(team).serveWaiters(p.ledger, team)
 }
 
-// pumpAll does so for every team.
-func (p *permits) pumpAll() {
+// serveAllWaiters gives the idle permits of every team to its waiters.
+func (p *permits) serveAllWaiters() {
 	p.teams.Range(func(name, _ any) bool {
-		p.pump(name.(string))
+		p.serveWaiters(name.(string))
 		return true
 	})
 }
 
-// team returns the team's queue.
-func (p *permits) team(name string) *permitQueue {
+// queue returns the team's queue and creates it on first use.
+func (p *permits) queue(name string) *permitQueue {
 	if queue, ok := p.teams.Load(name); ok {
 		return queue.(*permitQueue)
 	}
-	queue, _ := p.teams.LoadOrStore(name, &permitQueue{gap: firstPermitWait})
+	queue, _ := p.teams.LoadOrStore(name, &permitQueue{releaseInterval: defaultPermitWait})
 	return queue.(*permitQueue)
 }
 
-// permitQueue holds the requests of one team that wait, first come first.
+// permitQueue holds the waiting requests of one team in FIFO order.
+// releaseInterval is the moving average time between releases.
 type permitQueue struct {
-	mu       sync.Mutex
-	waiters  []chan struct{}
-	gap      time.Duration
-	released time.Time
+	mu              sync.Mutex
+	waiters         []chan struct{}
+	releaseInterval time.Duration
+	lastRelease     time.Time
 }
 
-// join appends a waiter unless its turn would come too late.
-func (q *permitQueue) join(ledger *limit.Ledger, team string, now, deadline time.Time) (bool, chan struct{}, time.Duration) {
+// enqueue adds a waiter unless its expected wait exceeds the deadline.
+func (q *permitQueue) enqueue(ledger *limit.Ledger, team string, now, deadline time.Time) (bool, chan struct{}, time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	// A permit may have come back between the caller's attempt and the lock.
+	// A permit may have been released since the caller tried to acquire one.
 	if len(q.waiters) == 0 && ledger.Acquire(team) {
 		return true, nil, 0
 	}
-	expected := time.Duration(len(q.waiters)+1) * q.gap
+	expected := time.Duration(len(q.waiters)+1) * q.releaseInterval
 	if len(q.waiters) >= maxPermitWaiters || now.Add(expected).After(deadline) {
 		return false, nil, expected
 	}
@@ -102,8 +108,9 @@
 	return false, wait, 0
 }
 
-// leave removes a waiter; false means that it was served.
-func (q *permitQueue) leave(wait chan struct{}) bool {
+// remove removes a waiter. It returns false if the waiter already has its
+// permit.
+func (q *permitQueue) remove(wait chan struct{}) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, waiter := range q.waiters {
@@ -115,29 +122,30 @@
 	return false
 }
 
-// pump serves waiters while permits are idle.
-func (q *permitQueue) pump(ledger *limit.Ledger, team string) {
+// serveWaiters serves waiters while permits are idle.
+func (q *permitQueue) serveWaiters(ledger *limit.Ledger, team string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for len(q.waiters) > 0 && available(ledger, team) && ledger.Acquire(team) {
+	for len(q.waiters) > 0 && hasIdlePermit(ledger, team) && ledger.Acquire(team) {
 		close(q.waiters[0])
 		q.waiters = q.waiters[1:]
 	}
 }
 
-// observe updates the mean time between releases.
-func (q *permitQueue) observe(now time.Time) {
+// recordRelease updates the mean time between releases.
+func (q *permitQueue) recordRelease(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if gap := now.Sub(q.released); !q.released.IsZero() && gap < time.Second {
-		q.gap += (gap - q.gap) / gapSmoothing
+	if interval := now.Sub(q.lastRelease); !q.lastRelease.IsZero() && interval < time.Second {
+		q.releaseInterval += (interval - q.releaseInterval) / releaseIntervalSmoothing
 	}
-	q.released = now
+	q.lastRelease = now
 }
 
-// available looks for a permit without counting as a refused request, which
-// would make the ledger ask its peers for more.
-func available(ledger *limit.Ledger, team string) bool {
+// hasIdlePermit checks for a permit without a call to Acquire: a failed Acquire
+// counts as a refused request, which makes the ledger request more permits from
+// its peers.
+func hasIdlePermit(ledger *limit.Ledger, team string) bool {
 	status := ledger.Status(team)
 	return !status.Draining && status.InUse < status.Holding
 }
--- a/internal/entry/snapshot.go
+++ b/internal/entry/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/share"
 )
 
-// Snapshot is an entry's state dump. It holds no secrets.
+// Snapshot is the state of an entry for the dump. It holds no secrets.
 type Snapshot struct {
 	Node     node.Snapshot              `json:"node"`
 	Services map[string]ServiceSnapshot `json:"services"`
@@ -17,7 +17,7 @@
 	Charges  charge.Snapshot            `json:"charges"`
 }
 
-// ServiceSnapshot is one service's part of a Snapshot.
+// ServiceSnapshot is the state of one service in a Snapshot.
 type ServiceSnapshot struct {
 	Capacity int         `json:"capacity"`
 	Share    share.State `json:"share"`
@@ -26,7 +26,7 @@
 	Retries  retry.State `json:"retries"`
 }
 
-// Snapshot returns the present state.
+// Snapshot returns the current state.
 func (e *Entry) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		Node:     e.node.Snapshot(),
@@ -35,11 +35,11 @@
 		Charges:  e.charges.snapshot(),
 	}
 	now := e.now()
-	e.eachService(func(name string, s *service) {
+	e.forEachService(func(name string, s *service) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		snapshot.Services[name] = ServiceSnapshot{
-			Capacity: s.capacity, Share: s.scheduler.State(), Waiting: len(s.waiting),
+			Capacity: s.capacity, Share: s.scheduler.State(), Waiting: len(s.waiters),
 			Route: s.picker.State(now), Retries: s.budget.State(),
 		}
 	})
