--- a/internal/manager/configuration.go
+++ b/internal/manager/configuration.go
@@ -18,24 +18,24 @@
 	// pushTimeout bounds one push of a change to a member.
 	pushTimeout = 2 * time.Second
 	// settleInterval is the time between two attempts to settle lost commits.
-	settleInterval = 500 * time.Millisecond
+	resolveInterval = 500 * time.Millisecond
 	// fencedRetries bounds how often a commit is tried on a newer roster.
-	fencedRetries = 5
+	maxFencedAttempts = 5
 )
 
 // newAuthor returns the author of this manager's commits.
-func (m *Manager) newAuthor() *revision.Committer {
+func (m *Manager) newCommitter() *revision.Committer {
 	return revision.NewCommitter(revision.CommitterConfig{
 		Store:   m.node.Store(),
 		Replica: m.node.Configuration(),
-		Ready:   m.admitted,
-		Guard:   m.guard,
+		Ready:   m.readyToCommit,
+		Guard:   m.guardConditions,
 	})
 }
 
 // guard is the condition that the roster is the one in which this manager is
 // known to be a member.
-func (m *Manager) guard() []table.Condition {
+func (m *Manager) guardConditions() []table.Condition {
 	_, rowVersion := m.node.Roster()
 	return []table.Condition{{Key: roster.Key, Version: rowVersion}}
 }
@@ -46,8 +46,8 @@
 func (m *Manager) Commit(ctx context.Context, op revision.Operation, edit revision.Edit) (revision.Change, error) {
 	var change revision.Change
 	var err error
-	for range fencedRetries {
-		change, err = m.author.Commit(ctx, op, edit)
+	for range maxFencedAttempts {
+		change, err = m.committer.Commit(ctx, op, edit)
 		if !errors.Is(err, revision.ErrFenced) {
 			return change, err
 		}
@@ -60,14 +60,14 @@
 
 // settleLoop makes sure that commits whose answer was lost take effect no
 // more, or learns that they did.
-func (m *Manager) settleLoop(ctx context.Context) {
+func (m *Manager) resolveLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(settleInterval):
+		case <-time.After(resolveInterval):
 		}
-		if err := m.author.Resolve(ctx); err != nil && ctx.Err() == nil {
+		if err := m.committer.Resolve(ctx); err != nil && ctx.Err() == nil {
 			m.config.Log.Debug("lost commits not settled", "reason", err.Error())
 		}
 	}
@@ -78,16 +78,16 @@
 func (m *Manager) Push(_ context.Context, change revision.Change) {
 	members, _ := m.node.Roster()
 	message := peer.ChangeMessage(change)
-	m.pushes.Go(func() {
+	m.pendingPushes.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
 		defer cancel()
-		var pushes sync.WaitGroup
-		defer pushes.Wait()
+		var sends sync.WaitGroup
+		defer sends.Wait()
 		for _, member := range members.Members {
 			if member.Identity == m.node.Self().Identity {
 				continue
 			}
-			pushes.Go(func() {
+			sends.Go(func() {
 				reply, err := m.node.Dial(member).Push(ctx, message)
 				if err == nil {
 					m.node.RecordInForce(member.Identity, reply.GetRevision())
@@ -118,7 +118,7 @@
 
 // admitted reports whether every member that was in the roster when this
 // manager joined has answered it since, or has left.
-func (m *Manager) admitted() bool {
+func (m *Manager) readyToCommit() bool {
 	members, _ := m.node.Roster()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,17 +126,17 @@
 		return false
 	}
 	if m.joiner == nil {
-		m.joiner = revision.NewJoiner(m.others(members))
+		m.joiner = revision.NewJoiner(m.otherMembers(members))
 	}
 	for _, id := range m.node.Answered() {
 		m.joiner.Acknowledge(revision.Member(id))
 	}
-	m.joiner.ApplyRoster(m.others(members))
+	m.joiner.ApplyRoster(m.otherMembers(members))
 	return m.joiner.Ready()
 }
 
 // others returns the members but for this process.
-func (m *Manager) others(members roster.Roster) []revision.Member {
+func (m *Manager) otherMembers(members roster.Roster) []revision.Member {
 	var others []revision.Member
 	for _, member := range members.Members {
 		if member.Identity != m.node.Self().Identity {
--- a/internal/manager/hosts.go
+++ b/internal/manager/hosts.go
@@ -18,13 +18,13 @@
 
 const (
 	// hostInterval is the time between two looks at draining hosts.
-	hostInterval = 200 * time.Millisecond
+	drainInterval = 200 * time.Millisecond
 	// hostRetries bounds how often a host's row is tried again after a race.
-	hostRetries = 5
+	maxRowAttempts = 5
 )
 
 // hostWord is what one entry said of one host.
-type hostWord struct {
+type drainConfirmation struct {
 	sender       pool.Sender
 	host         string
 	confirmation pool.Confirmation
@@ -32,41 +32,41 @@
 
 // takeWords hands an entry's words on draining hosts to the host loop; one
 // that is lost comes again.
-func (m *Manager) takeWords(from roster.Identity, confirmations []*peerpb.HostConfirmation) {
+func (m *Manager) enqueueConfirmations(from roster.Identity, confirmations []*peerpb.HostConfirmation) {
 	for _, c := range confirmations {
-		word := hostWord{
+		confirmation := drainConfirmation{
 			sender: pool.Sender(from), host: c.GetHost(),
 			confirmation: pool.Confirmation{Epoch: c.GetEpoch(), InFlight: int(c.GetInFlight())},
 		}
 		select {
-		case m.words <- word:
+		case m.confirmations <- confirmation:
 		default:
 		}
 	}
 }
 
 // hostLoop completes drains.
-func (m *Manager) hostLoop(ctx context.Context) {
+func (m *Manager) drainLoop(ctx context.Context) {
 	drains := pool.NewDrainTracker()
-	ticker := time.NewTicker(hostInterval)
+	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case word := <-m.words:
-			drains.Confirm(word.host, word.sender, word.confirmation)
+		case confirmation := <-m.confirmations:
+			drains.Confirm(confirmation.host, confirmation.sender, confirmation.confirmation)
 			continue
 		case <-ticker.C:
 		}
-		if err := m.tendHosts(ctx, drains); err != nil && ctx.Err() == nil {
+		if err := m.completeDrains(ctx, drains); err != nil && ctx.Err() == nil {
 			m.config.Log.Debug("drains not completed", "reason", err.Error())
 		}
 	}
 }
 
 // tendHosts settles each drain that this manager leads and that is complete.
-func (m *Manager) tendHosts(ctx context.Context, drains *pool.DrainTracker) error {
+func (m *Manager) completeDrains(ctx context.Context, drains *pool.DrainTracker) error {
 	rows, err := m.node.Store().Scan(ctx, pool.KeyPrefix)
 	if err != nil {
 		return errors.Wrap(err, "read the hosts' assignments")
@@ -75,7 +75,7 @@
 	if err != nil {
 		return errors.Wrap(err, "read the host list")
 	}
-	workers := workersOf(listed)
+	workers := workerHosts(listed)
 	var leaving []string
 	for _, row := range rows {
 		current, err := pool.Decode(row)
@@ -88,7 +88,7 @@
 		if current.Phase != pool.Draining {
 			continue
 		}
-		if err := m.settleHost(ctx, drains, row, current, workers[current.Host]); err != nil {
+		if err := m.completeDrain(ctx, drains, row, current, workers[current.Host]); err != nil {
 			return err
 		}
 	}
@@ -98,15 +98,15 @@
 
 // settleHost commits the end of a drain if nothing runs at the host. The commit
 // rests on the roster's row, so that an entry that joined unseen is not missed.
-func (m *Manager) settleHost(ctx context.Context, drains *pool.DrainTracker, row table.Row, current pool.Assignment, worker bool) error {
-	fences, ours := m.settles(row.Key, current, worker)
-	if !ours {
+func (m *Manager) completeDrain(ctx context.Context, drains *pool.DrainTracker, row table.Row, current pool.Assignment, worker bool) error {
+	fences, owned := m.ownsDrain(row.Key, current, worker)
+	if !owned {
 		return nil
 	}
 	members, rowVersion := m.node.Roster()
-	senders, gone := entriesOf(members)
+	senders, gone := entrySenders(members)
 	c := m.node.Configuration().View().State.Catalogue
-	if !drains.IsDrained(time.Now(), current, senders, gone, longestOfAll(c)) {
+	if !drains.IsDrained(time.Now(), current, senders, gone, longestRunOverall(c)) {
 		return nil
 	}
 	next, err := pool.CompleteDrain(current)
@@ -134,16 +134,16 @@
 // settles reports whether it is this manager's part to settle the host: a
 // worker's is that of the process that manages its shard, which must have
 // nothing there; the fence says that it still does.
-func (m *Manager) settles(row string, current pool.Assignment, worker bool) (fences []table.Condition, ours bool) {
-	if !worker || !m.shards.has(current.Pool) {
-		return nil, m.leads(row, time.Now())
+func (m *Manager) ownsDrain(row string, current pool.Assignment, worker bool) (fences []table.Condition, owned bool) {
+	if !worker || !m.shards.hasPool(current.Pool) {
+		return nil, m.owns(row, time.Now())
 	}
-	fence, drained := m.shards.drained(current.Pool, current.Host)
+	fence, drained := m.shards.isDrained(current.Pool, current.Host)
 	return []table.Condition{fence}, drained
 }
 
 // workersOf returns the hosts that run tasks.
-func workersOf(hosts []platform.Host) map[string]bool {
+func workerHosts(hosts []platform.Host) map[string]bool {
 	workers := make(map[string]bool)
 	for _, host := range hosts {
 		for _, endpoint := range host.Endpoints {
@@ -181,7 +181,7 @@
 
 // entriesOf returns the processes that send requests to endpoints, and those
 // that did and are proven gone.
-func entriesOf(members roster.Roster) (senders, gone []pool.Sender) {
+func entrySenders(members roster.Roster) (senders, gone []pool.Sender) {
 	for _, member := range members.Members {
 		if member.Role == roster.RoleEntry {
 			senders = append(senders, pool.Sender(member.Identity))
@@ -194,7 +194,7 @@
 }
 
 // longestOfAll bounds the work of any catalogue entry.
-func longestOfAll(c catalogue.Catalogue) time.Duration {
+func longestRunOverall(c catalogue.Catalogue) time.Duration {
 	longest := time.Duration(0)
 	for _, entry := range c.Entries {
 		longest = max(longest, entry.LongestRun)
@@ -208,7 +208,7 @@
 }
 
 // Busy implements node.Part.
-func (m *Manager) IsUrgent() bool { return m.shards.busy() }
+func (m *Manager) IsUrgent() bool { return m.shards.holdsPermits() }
 
 // Hosts returns the platform's hosts with their assignments.
 func (m *Manager) Hosts(ctx context.Context) ([]api.Host, error) {
@@ -252,7 +252,7 @@
 // DrainHost has a host take no new work. A repeat of the same drain changes
 // nothing. Errors: operator.ErrNotFound, *pool.PhaseError, the table's.
 func (m *Manager) DrainHost(ctx context.Context, name string, purpose pool.Purpose, target string) (api.Host, error) {
-	return m.changeHost(ctx, name, func(current pool.Assignment) (pool.Assignment, error) {
+	return m.updateHost(ctx, name, func(current pool.Assignment) (pool.Assignment, error) {
 		if current.Phase != pool.Serving && current.Purpose == purpose && (current.Target == target || purpose == pool.Maintenance) {
 			return current, nil
 		}
@@ -262,7 +262,7 @@
 
 // ReturnHost has a host serve its pool again. A repeat changes nothing.
 func (m *Manager) ReturnHost(ctx context.Context, name string) (api.Host, error) {
-	return m.changeHost(ctx, name, func(current pool.Assignment) (pool.Assignment, error) {
+	return m.updateHost(ctx, name, func(current pool.Assignment) (pool.Assignment, error) {
 		if current.Phase == pool.Serving {
 			return current, nil
 		}
@@ -271,12 +271,12 @@
 }
 
 // changeHost commits a change of a host's row, again after a race.
-func (m *Manager) changeHost(ctx context.Context, name string, change func(pool.Assignment) (pool.Assignment, error)) (api.Host, error) {
+func (m *Manager) updateHost(ctx context.Context, name string, update func(pool.Assignment) (pool.Assignment, error)) (api.Host, error) {
 	listed, err := m.findHost(ctx, name)
 	if err != nil {
 		return api.Host{}, err
 	}
-	for range hostRetries {
+	for range maxRowAttempts {
 		rows, err := m.node.Store().Get(ctx, pool.Key(name))
 		if err != nil {
 			return api.Host{}, err
@@ -287,7 +287,7 @@
 				return api.Host{}, err
 			}
 		}
-		next, err := change(current)
+		next, err := update(current)
 		if err != nil || next == current {
 			return apiHost(listed, next), err
 		}
--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -32,14 +32,14 @@
 		case <-m.wake:
 		case <-ticker.C:
 		}
-		if err := m.divide(ctx, planner); err != nil && ctx.Err() == nil {
+		if err := m.planPermits(ctx, planner); err != nil && ctx.Err() == nil {
 			m.config.Log.Debug("permits not divided", "reason", err.Error())
 		}
 	}
 }
 
 // divide steps the planner for each team that this manager leads.
-func (m *Manager) divide(ctx context.Context, planner *limit.Planner) error {
+func (m *Manager) planPermits(ctx context.Context, planner *limit.Planner) error {
 	rows, err := m.node.Store().Scan(ctx, limit.KeyPrefix)
 	if err != nil {
 		return errors.Wrap(err, "read the limits")
@@ -51,10 +51,10 @@
 	state := m.node.Configuration().View().State
 	for name, team := range state.Catalogue.Teams {
 		key := limit.Key(name)
-		if !m.leads(key, time.Now()) {
+		if !m.owns(key, time.Now()) {
 			continue
 		}
-		if err := m.divideTeam(ctx, planner, state.Catalogue, team, byKey[key]); err != nil {
+		if err := m.planTeamPermits(ctx, planner, state.Catalogue, team, byKey[key]); err != nil {
 			return err
 		}
 	}
@@ -62,18 +62,18 @@
 }
 
 // divideTeam steps the planner for one team and carries out its decision.
-func (m *Manager) divideTeam(ctx context.Context, planner *limit.Planner, c catalogue.Catalogue, team catalogue.Team, row table.Row) error {
-	grant := limit.Allocation{Team: team.Name}
+func (m *Manager) planTeamPermits(ctx context.Context, planner *limit.Planner, c catalogue.Catalogue, team catalogue.Team, row table.Row) error {
+	allocation := limit.Allocation{Team: team.Name}
 	if row.Version != table.Absent {
 		var err error
-		if grant, err = limit.ParseAllocation(row.Value); err != nil {
+		if allocation, err = limit.ParseAllocation(row.Value); err != nil {
 			return errors.Wrapf(err, "decode row %q", row.Key)
 		}
 	}
 	members, _ := m.node.Roster()
 	decision := planner.Step(time.Now(), limit.View{
-		Row: grant, Limit: team.UpperLimit, LongestRun: longestRun(c, team.Name),
-		Live: live(members), Ended: ended(grant, members),
+		Row: allocation, Limit: team.UpperLimit, LongestRun: longestTeamRun(c, team.Name),
+		Live: activeMembers(members), Ended: departedMembers(allocation, members),
 	})
 	for _, freeze := range decision.Freezes {
 		m.freeze(ctx, planner, freeze)
@@ -81,11 +81,11 @@
 	if decision.Action != limit.Commit {
 		return nil
 	}
-	return m.commitGrant(ctx, decision.Next, row)
+	return m.commitAllocation(ctx, decision.Next, row)
 }
 
 // commitGrant writes a team's row on condition of the version that was read.
-func (m *Manager) commitGrant(ctx context.Context, next limit.Allocation, row table.Row) error {
+func (m *Manager) commitAllocation(ctx context.Context, next limit.Allocation, row table.Row) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "encode limit row")
@@ -129,7 +129,7 @@
 
 // live returns the processes that should hold permits: those that dispatch
 // requests or tasks.
-func live(members roster.Roster) []limit.Member {
+func activeMembers(members roster.Roster) []limit.Member {
 	var names []limit.Member
 	for _, member := range members.Members {
 		if member.State == roster.StateActive {
@@ -141,18 +141,18 @@
 
 // ended returns the row's members that the roster has dropped, which it does
 // on evidence only.
-func ended(grant limit.Allocation, members roster.Roster) []limit.Member {
+func departedMembers(allocation limit.Allocation, members roster.Roster) []limit.Member {
 	present := make(map[limit.Member]bool)
 	for _, member := range members.Members {
 		present[limit.Member(member.Identity.String())] = true
 	}
 	var names []limit.Member
-	for name := range grant.Granted {
+	for name := range allocation.Granted {
 		if !present[name] {
 			names = append(names, name)
 		}
 	}
-	for name := range grant.Carried {
+	for name := range allocation.Carried {
 		if !present[name] {
 			names = append(names, name)
 		}
@@ -161,7 +161,7 @@
 }
 
 // longestRun bounds the work of a team: the longest of the entries that it may use.
-func longestRun(c catalogue.Catalogue, team string) time.Duration {
+func longestTeamRun(c catalogue.Catalogue, team string) time.Duration {
 	longest := time.Duration(0)
 	for _, entry := range c.Entries {
 		if entry.Admits(team) {
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -41,9 +41,9 @@
 	// reportTimeout is how long a rebase waits for members that do not answer.
 	reportTimeout = 2 * time.Second
 	// silence is the time after which a manager's part falls to the others.
-	silence = 5 * time.Second
+	managerTimeout = 5 * time.Second
 	// reportQueue bounds the permit reports that wait for the planner.
-	reportQueue = 1024
+	eventQueueSize = 1024
 )
 
 // HostLister returns the platform's lagging list of hosts.
@@ -69,18 +69,18 @@
 
 // Manager is a node.Part.
 type Manager struct {
-	config  Config
-	node    *node.Node
-	reports chan limit.Report
-	wake    chan struct{}
-	words   chan hostWord
+	config        Config
+	node          *node.Node
+	reports       chan limit.Report
+	wake          chan struct{}
+	confirmations chan drainConfirmation
 	// assignments are the hosts' rows as last read.
 	assignments atomic.Pointer[map[string]pool.Assignment]
 
-	author *revision.Committer
-	shards *shards
+	committer *revision.Committer
+	shards    *shards
 	// pushes tracks what goes on after an operator was answered.
-	pushes sync.WaitGroup
+	pendingPushes sync.WaitGroup
 
 	mu     sync.Mutex
 	joiner *revision.Joiner
@@ -89,13 +89,13 @@
 // New returns a manager over the node.
 func New(config Config) *Manager {
 	m := &Manager{
-		config:  config,
-		node:    config.Node,
-		reports: make(chan limit.Report, reportQueue),
-		wake:    make(chan struct{}, 1),
-		words:   make(chan hostWord, reportQueue),
+		config:        config,
+		node:          config.Node,
+		reports:       make(chan limit.Report, eventQueueSize),
+		wake:          make(chan struct{}, 1),
+		confirmations: make(chan drainConfirmation, eventQueueSize),
 	}
-	m.author = m.newAuthor()
+	m.committer = m.newCommitter()
 	m.shards = newShards(m)
 	return m
 }
@@ -107,12 +107,12 @@
 		group := loops.New(ctx)
 		group.Go(m.limitLoop)
 		group.Go(m.rosterLoop)
-		group.Go(m.settleLoop)
+		group.Go(m.resolveLoop)
 		group.Go(m.shards.run)
-		group.Go(m.hostLoop)
+		group.Go(m.drainLoop)
 		group.Go(m.waveLoop)
 		group.Wait()
-		m.pushes.Wait()
+		m.pendingPushes.Wait()
 		done <- ctx.Err()
 	}()
 	return done
@@ -123,20 +123,20 @@
 
 // Absorb implements node.Part: it takes reports on permits and words on hosts.
 func (m *Manager) ApplyState(from roster.Identity, state *peerpb.State) {
-	m.takeWords(from, state.GetHosts())
+	m.enqueueConfirmations(from, state.GetHosts())
 	for _, report := range state.GetReports() {
-		m.takeReport(peer.Report(report))
+		m.enqueueReport(peer.Report(report))
 	}
 }
 
 // RosterChanged implements node.Part.
-func (m *Manager) RosterChanged(roster.Roster, uint64) { m.wakeUp() }
+func (m *Manager) RosterChanged(roster.Roster, uint64) { m.wakeLimitLoop() }
 
 // PermitsChanged implements node.Part.
 func (m *Manager) PermitsChanged() {}
 
 // takeReport hands a report to the planner; one that is lost comes again.
-func (m *Manager) takeReport(report limit.Report) {
+func (m *Manager) enqueueReport(report limit.Report) {
 	select {
 	case m.reports <- report:
 	default:
@@ -144,7 +144,7 @@
 }
 
 // wakeUp has the permits looked at before the next interval.
-func (m *Manager) wakeUp() {
+func (m *Manager) wakeLimitLoop() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -152,20 +152,20 @@
 }
 
 // leads reports whether the work on a row is this manager's.
-func (m *Manager) leads(row string, now time.Time) bool {
-	best, weight := m.node.Self().Name, weigh(row, m.node.Self().Name)
+func (m *Manager) owns(row string, now time.Time) bool {
+	best, weight := m.node.Self().Name, rendezvousWeight(row, m.node.Self().Name)
 	for _, peer := range m.node.Peers() {
-		if peer.Role != roster.RoleManager || peer.State != roster.StateActive || now.Sub(peer.Heard) > silence {
+		if peer.Role != roster.RoleManager || peer.State != roster.StateActive || now.Sub(peer.Heard) > managerTimeout {
 			continue
 		}
-		if other := weigh(row, peer.Name); other > weight {
-			best, weight = peer.Name, other
+		if candidate := rendezvousWeight(row, peer.Name); candidate > weight {
+			best, weight = peer.Name, candidate
 		}
 	}
 	return best == m.node.Self().Name
 }
 
 // weigh is the rendezvous weight of a manager for a row.
-func weigh(row, name string) uint64 {
+func rendezvousWeight(row, name string) uint64 {
 	return xxhash.Sum64String(row + "\x00" + name)
 }
--- a/internal/manager/members.go
+++ b/internal/manager/members.go
@@ -13,21 +13,21 @@
 
 // rosterLoop removes members on evidence and settles former generations.
 func (m *Manager) rosterLoop(ctx context.Context) {
-	watch := newHostWatch(m.config.ListLag)
+	absence := newHostAbsence(m.config.ListLag)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(rosterInterval):
 		}
-		if err := m.tendRoster(ctx, watch); err != nil && ctx.Err() == nil {
+		if err := m.reconcileRoster(ctx, absence); err != nil && ctx.Err() == nil {
 			m.config.Log.Debug("roster not tended", "reason", err.Error())
 		}
 	}
 }
 
 // tendRoster makes one round over the roster.
-func (m *Manager) tendRoster(ctx context.Context, watch *hostWatch) error {
+func (m *Manager) reconcileRoster(ctx context.Context, absence *hostAbsence) error {
 	hosts, err := m.config.Platform.Hosts(ctx)
 	if err != nil {
 		return errors.Wrap(err, "read the host list")
@@ -38,8 +38,8 @@
 	}
 	members, _ := m.node.Roster()
 	now := time.Now()
-	watch.observe(now, members, listed)
-	if !m.leads(roster.Key, now) {
+	absence.observe(now, members, listed)
+	if !m.owns(roster.Key, now) {
 		return nil
 	}
 	acks, err := m.readAcks(ctx)
@@ -47,7 +47,7 @@
 		return err
 	}
 	for _, member := range members.Members {
-		if err := m.tendMember(ctx, member, members, acks, watch.gone(now, member)); err != nil {
+		if err := m.removeDepartedMember(ctx, member, members, acks, absence.isGone(now, member)); err != nil {
 			return err
 		}
 	}
@@ -57,12 +57,12 @@
 	if err != nil {
 		return err
 	}
-	return m.dropAcks(ctx, members.ObsoleteAcks(acks))
+	return m.deleteAcks(ctx, members.ObsoleteAcks(acks))
 }
 
 // dropAcks deletes the acknowledgements of processes that no generation of the
 // roster mentions.
-func (m *Manager) dropAcks(ctx context.Context, obsolete []roster.Identity) error {
+func (m *Manager) deleteAcks(ctx context.Context, obsolete []roster.Identity) error {
 	if len(obsolete) == 0 {
 		return nil
 	}
@@ -89,11 +89,11 @@
 }
 
 // tendMember removes a member whose end is proven.
-func (m *Manager) tendMember(ctx context.Context, member roster.Member, members roster.Roster, acks roster.Acks, gone bool) error {
+func (m *Manager) removeDepartedMember(ctx context.Context, member roster.Member, members roster.Roster, acks roster.Acks, gone bool) error {
 	evidence := roster.EvidenceHostGone
 	switch {
 	case gone:
-	case handedOver(member, members, acks):
+	case hasHandedOver(member, members, acks):
 		evidence = roster.EvidenceAcknowledged
 	default:
 		return nil
@@ -106,40 +106,40 @@
 
 // handedOver reports whether a leaving member acknowledged a version in which
 // it holds nothing.
-func handedOver(member roster.Member, members roster.Roster, acks roster.Acks) bool {
+func hasHandedOver(member roster.Member, members roster.Roster, acks roster.Acks) bool {
 	return member.State == roster.StateLeaving && acks[member.Identity] >= members.Version
 }
 
 // hostWatch tells since when the platform's list has lacked a member's host.
-type hostWatch struct {
-	lag     time.Duration
-	missing map[roster.Identity]time.Time
+type hostAbsence struct {
+	listLag      time.Duration
+	missingSince map[roster.Identity]time.Time
 }
 
 // newHostWatch returns a watch over a list with that lag.
-func newHostWatch(lag time.Duration) *hostWatch {
-	return &hostWatch{lag: lag, missing: make(map[roster.Identity]time.Time)}
+func newHostAbsence(lag time.Duration) *hostAbsence {
+	return &hostAbsence{listLag: lag, missingSince: make(map[roster.Identity]time.Time)}
 }
 
 // observe takes one reading of the list.
-func (w *hostWatch) observe(now time.Time, members roster.Roster, listed map[string]bool) {
-	missing := make(map[roster.Identity]time.Time)
+func (a *hostAbsence) observe(now time.Time, members roster.Roster, listed map[string]bool) {
+	missingSince := make(map[roster.Identity]time.Time)
 	for _, member := range members.Members {
 		if listed[member.Host] {
 			continue
 		}
-		since, ok := w.missing[member.Identity]
+		since, ok := a.missingSince[member.Identity]
 		if !ok {
 			since = now
 		}
-		missing[member.Identity] = since
+		missingSince[member.Identity] = since
 	}
-	w.missing = missing
+	a.missingSince = missingSince
 }
 
 // gone reports whether the list has lacked the member's host for longer than
 // its lag.
-func (w *hostWatch) gone(now time.Time, member roster.Member) bool {
-	since, ok := w.missing[member.Identity]
-	return ok && now.Sub(since) > w.lag
+func (a *hostAbsence) isGone(now time.Time, member roster.Member) bool {
+	since, ok := a.missingSince[member.Identity]
+	return ok && now.Sub(since) > a.listLag
 }
--- a/internal/manager/service.go
+++ b/internal/manager/service.go
@@ -31,7 +31,7 @@
 	if err := json.Unmarshal(request.GetSpec(), &spec); err != nil {
 		return nil, twirp.InvalidArgumentError("spec", err.Error())
 	}
-	managed, err := s.manager.shards.of(spec.Queue)
+	managed, err := s.manager.shards.forQueue(spec.Queue)
 	if err != nil {
 		return nil, twirp.NotFoundError(err.Error())
 	}
@@ -41,7 +41,7 @@
 
 // CancelTask cancels a task if this manager manages its queue.
 func (s *peerService) CancelTask(ctx context.Context, request *peerpb.CancelTaskRequest) (*peerpb.TaskReply, error) {
-	managed, err := s.manager.shards.of(request.GetQueue())
+	managed, err := s.manager.shards.forQueue(request.GetQueue())
 	if err != nil {
 		return nil, twirp.NotFoundError(err.Error())
 	}
--- a/internal/manager/shards.go
+++ b/internal/manager/shards.go
@@ -42,7 +42,7 @@
 type shards struct {
 	manager *Manager
 	workers *worker.Client
-	running sync.WaitGroup
+	runners sync.WaitGroup
 
 	mu     sync.Mutex
 	byPool map[string]*shard
@@ -70,7 +70,7 @@
 // run follows the catalogue and the permits until the context ends.
 func (s *shards) run(ctx context.Context) {
 	defer s.workers.Close()
-	defer s.running.Wait()
+	defer s.runners.Wait()
 	ticker := time.NewTicker(shardInterval)
 	defer ticker.Stop()
 	for {
@@ -80,14 +80,14 @@
 		case <-ticker.C:
 		}
 		c := s.manager.node.Configuration().View().State.Catalogue
-		s.follow(ctx, c)
-		s.balance(c)
+		s.reconcile(ctx, c)
+		s.allocatePermits(c)
 	}
 }
 
 // follow starts a runner for each pool with queues, and a new one when the
 // pool's queues have changed.
-func (s *shards) follow(ctx context.Context, c catalogue.Catalogue) {
+func (s *shards) reconcile(ctx context.Context, c catalogue.Catalogue) {
 	wanted := queuesByPool(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,12 +113,12 @@
 		Workers: s.workers, Log: m.config.Log, ListLag: m.config.ListLag,
 	})
 	ctx, stop := context.WithCancel(ctx)
-	s.running.Go(func() { _ = r.Run(ctx) }) // ends with ctx, whose error it returns
+	s.runners.Go(func() { _ = r.Run(ctx) }) // ends with ctx, whose error it returns
 	return &shard{runner: r, queues: queues, stop: stop}
 }
 
 // of returns the runner that manages a queue.
-func (s *shards) of(queue string) (*runner.Runner, error) {
+func (s *shards) forQueue(queue string) (*runner.Runner, error) {
 	entry, ok := s.manager.node.Configuration().View().State.Catalogue.Entries[queue]
 	if !ok || entry.Kind != catalogue.KindQueue {
 		return nil, errNoQueue
@@ -135,27 +135,27 @@
 // balance takes permits for the tasks that wait and run, and bounds each lane
 // by the permits in hand. A permit is given back only after the lanes' bounds
 // were lowered, so that no task can start under it any more.
-func (s *shards) balance(c catalogue.Catalogue) {
+func (s *shards) allocatePermits(c catalogue.Catalogue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byTeam := make(map[string][]task.TeamQueueState)
 	for _, current := range s.byPool {
-		for _, lane := range current.runner.Dump().TeamQueues {
-			byTeam[lane.Team] = append(byTeam[lane.Team], lane)
+		for _, queue := range current.runner.Dump().TeamQueues {
+			byTeam[queue.Team] = append(byTeam[queue.Team], queue)
 		}
 	}
 	limits := make(map[task.TeamQueue]task.Limit)
-	release := make(map[string]int)
-	for _, team := range teamsOf(byTeam, s.reserved) {
-		lanes := byTeam[team]
-		release[team] = s.reserve(team, wantedBy(lanes))
-		divideLanes(c, lanes, s.reserved[team]-release[team], limits)
+	excess := make(map[string]int)
+	for _, team := range teamNames(byTeam, s.reserved) {
+		teamQueues := byTeam[team]
+		excess[team] = s.reserve(team, wantedPermits(teamQueues))
+		divideTeamPermits(c, teamQueues, s.reserved[team]-excess[team], limits)
 	}
-	closeUnseen(c, limits)
+	closeUnobserved(c, limits)
 	for _, current := range s.byPool {
 		current.runner.SetLimits(limits)
 	}
-	for team, n := range release {
+	for team, n := range excess {
 		for range n {
 			s.manager.node.Ledger().Release(team)
 			s.reserved[team]--
@@ -167,8 +167,8 @@
 // in hand are no longer wanted.
 func (s *shards) reserve(team string, wanted int) (excess int) {
 	ledger := s.manager.node.Ledger()
-	if missing := wanted - s.reserved[team]; missing > 0 {
-		ledger.RecordWaiting(team, missing)
+	if shortage := wanted - s.reserved[team]; shortage > 0 {
+		ledger.RecordWaiting(team, shortage)
 	}
 	for s.reserved[team] < wanted {
 		status := ledger.Status(team)
@@ -204,20 +204,20 @@
 }
 
 // wantedBy returns the permits that the lanes could use.
-func wantedBy(lanes []task.TeamQueueState) int {
+func wantedPermits(teamQueues []task.TeamQueueState) int {
 	wanted := 0
-	for _, lane := range lanes {
-		wanted += lane.Waiting
+	for _, queue := range teamQueues {
+		wanted += queue.Waiting
 	}
-	return wanted + runningIn(lanes)
+	return wanted + runningTasks(teamQueues)
 }
 
 // runningIn returns the tasks that are placed or running. A lane stands in the
 // dump once for each class, each time with all that it runs.
-func runningIn(lanes []task.TeamQueueState) int {
+func runningTasks(teamQueues []task.TeamQueueState) int {
 	running := make(map[task.TeamQueue]int)
-	for _, lane := range lanes {
-		running[lane.TeamQueue] = lane.Running
+	for _, queue := range teamQueues {
+		running[queue.TeamQueue] = queue.Running
 	}
 	sum := 0
 	for _, n := range running {
@@ -228,13 +228,13 @@
 
 // divideLanes bounds a team's lanes so that together they run at most permits:
 // each keeps what it runs, and the rest goes to the lanes that wait, in turn.
-func divideLanes(c catalogue.Catalogue, lanes []task.TeamQueueState, permits int, limits map[task.TeamQueue]task.Limit) {
+func divideTeamPermits(c catalogue.Catalogue, teamQueues []task.TeamQueueState, permits int, limits map[task.TeamQueue]task.Limit) {
 	bounds, waiting := make(map[task.TeamQueue]int), make(map[task.TeamQueue]int)
-	for _, lane := range lanes {
-		bounds[lane.TeamQueue] = lane.Running
-		waiting[lane.TeamQueue] += lane.Waiting
+	for _, queue := range teamQueues {
+		bounds[queue.TeamQueue] = queue.Running
+		waiting[queue.TeamQueue] += queue.Waiting
 	}
-	spare := permits - runningIn(lanes)
+	spare := permits - runningTasks(teamQueues)
 	keys := slices.SortedFunc(maps.Keys(bounds), func(a, b task.TeamQueue) int { return strings.Compare(a.Queue, b.Queue) })
 	for granted := true; spare > 0 && granted; {
 		granted = false
@@ -248,12 +248,12 @@
 		}
 	}
 	for key, bound := range bounds {
-		limits[key] = laneLimit(c, key, bound)
+		limits[key] = teamQueueLimit(c, key, bound)
 	}
 }
 
 // laneLimit returns a lane's limit with the team's weight on the queue.
-func laneLimit(c catalogue.Catalogue, key task.TeamQueue, bound int) task.Limit {
+func teamQueueLimit(c catalogue.Catalogue, key task.TeamQueue, bound int) task.Limit {
 	entry := c.Entries[key.Queue]
 	if entry.Limit > 0 {
 		bound = min(bound, entry.Limit)
@@ -263,14 +263,14 @@
 
 // closeUnseen lets no task start in a lane that nothing was counted for yet:
 // it has no permits until the next round.
-func closeUnseen(c catalogue.Catalogue, limits map[task.TeamQueue]task.Limit) {
+func closeUnobserved(c catalogue.Catalogue, limits map[task.TeamQueue]task.Limit) {
 	for name, entry := range c.Entries {
 		if entry.Kind != catalogue.KindQueue {
 			continue
 		}
 		for team := range c.Teams {
 			key := task.TeamQueue{Queue: name, Team: team}
-			if _, seen := limits[key]; !seen {
+			if _, observed := limits[key]; !observed {
 				limits[key] = task.Limit{Closed: true}
 			}
 		}
@@ -278,9 +278,9 @@
 }
 
 // teamsOf returns the teams that have lanes or permits, in order.
-func teamsOf(lanes map[string][]task.TeamQueueState, reserved map[string]int) []string {
+func teamNames(teamQueues map[string][]task.TeamQueueState, reserved map[string]int) []string {
 	teams := make(map[string]bool)
-	for team := range lanes {
+	for team := range teamQueues {
 		teams[team] = true
 	}
 	for team := range reserved {
@@ -301,7 +301,7 @@
 // drained reports whether the pool's shard has no work at the host's worker,
 // under the fence that is returned. It is false where another process manages
 // the shard: the host is that process's to settle.
-func (s *shards) drained(pool, host string) (fence table.Condition, drained bool) {
+func (s *shards) isDrained(pool, host string) (fence table.Condition, drained bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := s.byPool[pool]
@@ -313,14 +313,14 @@
 }
 
 // has reports whether the pool has queues, and so a shard.
-func (s *shards) has(pool string) bool {
+func (s *shards) hasPool(pool string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byPool[pool] != nil
 }
 
 // busy reports whether this process holds permits for tasks.
-func (s *shards) busy() bool {
+func (s *shards) holdsPermits() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range s.reserved {
--- a/internal/manager/shards_test.go
+++ b/internal/manager/shards_test.go
@@ -12,27 +12,27 @@
 
 // Whatever waits and runs, a team's lanes may together run no more than its
 // permits, or than what runs already; and no permit that could be used is left.
-func TestLanesStayWithinPermits(t *testing.T) {
+func TestTeamQueuesStayWithinPermits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := catalogue.New()
 		c.Teams["tackle"] = catalogue.Team{Name: "tackle", UpperLimit: 100, Share: 1}
-		var lanes []task.TeamQueueState
+		var teamQueues []task.TeamQueueState
 		waiting, running := 0, 0
 		for i := range rapid.IntRange(0, 5).Draw(t, "queues") {
 			name := fmt.Sprintf("queue-%d", i)
 			c.Entries[name] = catalogue.Entry{Name: name, Kind: catalogue.KindQueue, Team: "tackle"}
-			lane := task.TeamQueueState{
+			queue := task.TeamQueueState{
 				TeamQueue: task.TeamQueue{Queue: name, Team: "tackle"},
 				Waiting:   rapid.IntRange(0, 9).Draw(t, "waiting"),
 				Running:   rapid.IntRange(0, 9).Draw(t, "running"),
 			}
-			lanes = append(lanes, lane)
-			waiting += lane.Waiting
-			running += lane.Running
+			teamQueues = append(teamQueues, queue)
+			waiting += queue.Waiting
+			running += queue.Running
 		}
 		permits := rapid.IntRange(0, 60).Draw(t, "permits")
 		limits := make(map[task.TeamQueue]task.Limit)
-		divideLanes(c, lanes, permits, limits)
+		divideTeamPermits(c, teamQueues, permits, limits)
 		sum := 0
 		for key, limit := range limits {
 			if got, want := limit.Closed, limit.MaxRunning <= 0; got != want {
@@ -47,20 +47,20 @@
 }
 
 // A lane that nothing was counted for yet has no permits.
-func TestUnseenLanesAreClosed(t *testing.T) {
+func TestUnobservedTeamQueuesAreClosed(t *testing.T) {
 	c := catalogue.New()
 	c.Teams["tackle"] = catalogue.Team{Name: "tackle"}
 	c.Teams["bait"] = catalogue.Team{Name: "bait"}
 	c.Entries["plans"] = catalogue.Entry{Name: "plans", Kind: catalogue.KindQueue}
 	c.Entries["orders"] = catalogue.Entry{Name: "orders", Kind: catalogue.KindService}
-	seen := task.TeamQueue{Queue: "plans", Team: "tackle"}
-	limits := map[task.TeamQueue]task.Limit{seen: {MaxRunning: 3}}
-	closeUnseen(c, limits)
+	observed := task.TeamQueue{Queue: "plans", Team: "tackle"}
+	limits := map[task.TeamQueue]task.Limit{observed: {MaxRunning: 3}}
+	closeUnobserved(c, limits)
 	tests := map[string]struct {
 		key  task.TeamQueue
 		want bool
 	}{
-		"seen":   {seen, false},
+		"seen":   {observed, false},
 		"unseen": {task.TeamQueue{Queue: "plans", Team: "bait"}, true},
 	}
 	for name, tc := range tests {
--- a/internal/manager/wave_changes.go
+++ b/internal/manager/wave_changes.go
@@ -14,7 +14,7 @@
 
 // StartWave starts a wave over a pool; one that has not finished goes on.
 func (m *Manager) StartWave(ctx context.Context, request api.WaveRequest) (api.Wave, error) {
-	return m.changeWave(ctx, request.Pool, func(current waveRow, exists bool) (waveRow, error) {
+	return m.updateWave(ctx, request.Pool, func(current waveRow, exists bool) (waveRow, error) {
 		if exists && !current.Finished {
 			current.Need = request.Need
 			return current, nil
@@ -25,7 +25,7 @@
 
 // ResumeWave has a stopped wave go on.
 func (m *Manager) ResumeWave(ctx context.Context, name string) (api.Wave, error) {
-	return m.changeWave(ctx, name, func(current waveRow, exists bool) (waveRow, error) {
+	return m.updateWave(ctx, name, func(current waveRow, exists bool) (waveRow, error) {
 		if !exists {
 			return current, errors.Wrapf(operator.ErrNotFound, "wave of pool %q", name)
 		}
@@ -37,7 +37,7 @@
 // StopWave ends a wave: no further host is taken down, and those that are down
 // are the operator's to return.
 func (m *Manager) StopWave(ctx context.Context, name string) (api.Wave, error) {
-	return m.changeWave(ctx, name, func(current waveRow, exists bool) (waveRow, error) {
+	return m.updateWave(ctx, name, func(current waveRow, exists bool) (waveRow, error) {
 		if !exists {
 			return current, errors.Wrapf(operator.ErrNotFound, "wave of pool %q", name)
 		}
@@ -65,9 +65,9 @@
 }
 
 // changeWave commits a change of a wave's row, again after a race.
-func (m *Manager) changeWave(ctx context.Context, name string, change func(current waveRow, exists bool) (waveRow, error)) (api.Wave, error) {
+func (m *Manager) updateWave(ctx context.Context, name string, update func(current waveRow, exists bool) (waveRow, error)) (api.Wave, error) {
 	key := waveKeyPrefix + name
-	for range hostRetries {
+	for range maxRowAttempts {
 		rows, err := m.node.Store().Get(ctx, key)
 		if err != nil {
 			return api.Wave{}, err
@@ -79,7 +79,7 @@
 				return api.Wave{}, err
 			}
 		}
-		next, err := change(current, exists)
+		next, err := update(current, exists)
 		if err != nil {
 			return api.Wave{}, err
 		}
--- a/internal/manager/waves.go
+++ b/internal/manager/waves.go
@@ -20,7 +20,7 @@
 	// waveKeyPrefix starts the keys of the waves' rows, one for each pool.
 	waveKeyPrefix = "wave/"
 	// fullBudget stands for the availability budget, which is not counted yet.
-	fullBudget = 1
+	fullAvailabilityBudget = 1
 )
 
 // waveRow is the value of a wave's row: what must outlive a manager.
@@ -72,19 +72,19 @@
 			return
 		case <-time.After(waveInterval):
 		}
-		if err := w.tend(ctx); err != nil && ctx.Err() == nil {
+		if err := w.stepAll(ctx); err != nil && ctx.Err() == nil {
 			m.config.Log.Debug("waves not stepped", "reason", err.Error())
 		}
 	}
 }
 
 // tend steps each wave that this manager leads.
-func (w *waves) tend(ctx context.Context) error {
+func (w *waves) stepAll(ctx context.Context) error {
 	rows, err := w.manager.node.Store().Scan(ctx, waveKeyPrefix)
 	if err != nil {
 		return errors.Wrap(err, "read the waves")
 	}
-	total, err := resultsOf(rows)
+	total, err := totalResults(rows)
 	if err != nil {
 		return err
 	}
@@ -93,13 +93,13 @@
 		if err != nil {
 			return err
 		}
-		if current.Finished || !w.manager.leads(row.Key, time.Now()) {
+		if current.Finished || !w.manager.owns(row.Key, time.Now()) {
 			delete(w.byPool, current.Pool)
 			continue
 		}
 		own := current.results()
-		elsewhere := wave.Results{Done: total.Done - own.Done, Failed: total.Failed - own.Failed}
-		if err := w.step(ctx, row, current, elsewhere); err != nil {
+		otherPools := wave.Results{Done: total.Done - own.Done, Failed: total.Failed - own.Failed}
+		if err := w.step(ctx, row, current, otherPools); err != nil {
 			return err
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // resultsOf counts how maintenance went in the waves that are under way.
-func resultsOf(rows []table.Row) (wave.Results, error) {
+func totalResults(rows []table.Row) (wave.Results, error) {
 	var total wave.Results
 	for _, row := range rows {
 		current, err := decodeWave(row)
@@ -141,15 +141,15 @@
 
 // step brings one wave forward. The row is written before a host is taken
 // down, so that a manager that takes over knows of it.
-func (w *waves) step(ctx context.Context, row table.Row, current waveRow, elsewhere wave.Results) error {
+func (w *waves) step(ctx context.Context, row table.Row, current waveRow, otherPools wave.Results) error {
 	hosts, err := w.poolHosts(ctx, current.Pool)
 	if err != nil {
 		return err
 	}
 	next := current.clone()
 	now := time.Now()
-	view := w.observe(ctx, now, hosts, &next)
-	view.OtherPools = elsewhere
+	view := w.observePool(ctx, now, hosts, &next)
+	view.OtherPools = otherPools
 	decision := w.decide(now, view, next)
 	for _, name := range decision.Start {
 		next.Hosts[name] = waveHost{State: wave.StateDown, Boot: hosts[name].boot, DownAt: now}
@@ -199,44 +199,44 @@
 	if err != nil {
 		return nil, err
 	}
-	boots := make(map[string]platform.Host)
+	listedByName := make(map[string]platform.Host)
 	for _, host := range listed {
-		boots[host.Name] = host
+		listedByName[host.Name] = host
 	}
 	ofPool := make(map[string]poolHost)
 	for _, host := range hosts {
 		if host.Pool == name {
-			at := boots[host.Name]
-			ofPool[host.Name] = poolHost{Host: host, boot: at.Boot, live: at.State == platform.Live}
+			listedHost := listedByName[host.Name]
+			ofPool[host.Name] = poolHost{Host: host, boot: listedHost.Boot, live: listedHost.State == platform.Live}
 		}
 	}
 	return ofPool, nil
 }
 
 // observe brings the hosts of the wave forward and returns the pool's state.
-func (w *waves) observe(ctx context.Context, now time.Time, hosts map[string]poolHost, row *waveRow) wave.View {
-	view := wave.View{Need: row.Need, BudgetLeft: fullBudget}
+func (w *waves) observePool(ctx context.Context, now time.Time, hosts map[string]poolHost, row *waveRow) wave.View {
+	view := wave.View{Need: row.Need, BudgetLeft: fullAvailabilityBudget}
 	for name, host := range hosts {
-		if begun, ok := row.Hosts[name]; ok {
-			row.Hosts[name] = w.advance(ctx, now, host, begun)
+		if progress, ok := row.Hosts[name]; ok {
+			row.Hosts[name] = w.advanceHost(ctx, now, host, progress)
 		}
 		view.Hosts = append(view.Hosts, wave.Host{
-			Name: name, Rack: host.Rack, DataCentre: host.DataCentre, State: stateOf(host, row.Hosts[name]),
+			Name: name, Rack: host.Rack, DataCentre: host.DataCentre, State: hostState(host, row.Hosts[name]),
 		})
 	}
 	return view
 }
 
 // stateOf tells where a host stands in the wave.
-func stateOf(host poolHost, begun waveHost) wave.State {
+func hostState(host poolHost, progress waveHost) wave.State {
 	serving := host.live && host.Phase == string(pool.Serving)
 	switch {
-	case begun.State == wave.StateDone && !host.live:
+	case progress.State == wave.StateDone && !host.live:
 		return wave.StateFailed
-	case begun.State == wave.StateDone && !serving:
+	case progress.State == wave.StateDone && !serving:
 		return wave.StateLost
-	case begun.State != "":
-		return begun.State
+	case progress.State != "":
+		return progress.State
 	case serving:
 		return wave.StatePending
 	default:
@@ -245,31 +245,31 @@
 }
 
 // advance brings one host of the wave forward: drained, rebooted, back.
-func (w *waves) advance(ctx context.Context, now time.Time, host poolHost, begun waveHost) waveHost {
+func (w *waves) advanceHost(ctx context.Context, now time.Time, host poolHost, progress waveHost) waveHost {
 	m := w.manager
 	switch {
-	case begun.State == wave.StateDone:
-	case host.boot > begun.Boot && host.live && host.Phase == string(pool.Serving):
-		begun.State = wave.StateDone
-	case host.boot > begun.Boot && host.live:
+	case progress.State == wave.StateDone:
+	case host.boot > progress.Boot && host.live && host.Phase == string(pool.Serving):
+		progress.State = wave.StateDone
+	case host.boot > progress.Boot && host.live:
 		if _, err := m.ReturnHost(ctx, host.Name); err != nil {
 			m.config.Log.Warn("host not returned", "host", host.Name, "reason", err.Error())
 		}
-	case now.Sub(begun.DownAt) > m.config.RebootLimit:
-		begun.State = wave.StateFailed
+	case now.Sub(progress.DownAt) > m.config.RebootLimit:
+		progress.State = wave.StateFailed
 	case host.Phase == string(pool.Serving):
 		// The drain did not follow the row: its manager ended in between.
 		if _, err := m.DrainHost(ctx, host.Name, pool.Maintenance, ""); err != nil {
 			m.config.Log.Warn("host not drained", "host", host.Name, "reason", err.Error())
 		}
-	case host.Phase == string(pool.Drained) && !begun.Rebooted:
+	case host.Phase == string(pool.Drained) && !progress.Rebooted:
 		if err := m.config.Platform.Reboot(ctx, host.Name); err != nil {
 			m.config.Log.Warn("host not rebooted", "host", host.Name, "reason", err.Error())
-			return begun
+			return progress
 		}
-		begun.Rebooted = true
+		progress.Rebooted = true
 	}
-	return begun
+	return progress
 }
 
 // commit writes the row if it has changed.
