--- a/internal/manager/configuration.go
+++ b/internal/manager/configuration.go
@@ -17,13 +17,15 @@
 const (
 	// pushTimeout bounds one push of a change to a member.
 	pushTimeout = 2 * time.Second
-	// settleInterval is the time between two attempts to settle lost commits.
+	// resolveInterval is the time between two attempts to resolve commits whose
+	// answer was lost.
 	resolveInterval = 500 * time.Millisecond
-	// fencedRetries bounds how often a commit is tried on a newer roster.
+	// maxFencedAttempts bounds the attempts of a commit that fails because the
+	// roster's row has changed.
 	maxFencedAttempts = 5
 )
 
-// newAuthor returns the author of this manager's commits.
+// newCommitter returns the committer of this manager's configuration changes.
 func (m *Manager) newCommitter() *revision.Committer {
 	return revision.NewCommitter(revision.CommitterConfig{
 		Store:   m.node.Store(),
@@ -33,16 +35,16 @@
 	})
 }
 
-// guard is the condition that the roster is the one in which this manager is
-// known to be a member.
+// guardConditions returns the condition that the roster's row is unchanged since
+// this manager last read it.
 func (m *Manager) guardConditions() []table.Condition {
 	_, rowVersion := m.node.Roster()
 	return []table.Condition{{Key: roster.Key, Version: rowVersion}}
 }
 
-// Commit changes the configuration. It reads the roster again and repeats the
-// commit when that row has changed while this manager is still a member.
-// Errors: those of revision.Author.
+// Commit changes the configuration. If the roster's row has changed meanwhile, it
+// reads the roster again and repeats the commit. It returns the errors of
+// revision.Committer.
 func (m *Manager) Commit(ctx context.Context, op revision.Operation, edit revision.Edit) (revision.Change, error) {
 	var change revision.Change
 	var err error
@@ -58,8 +60,8 @@
 	return change, err
 }
 
-// settleLoop makes sure that commits whose answer was lost take effect no
-// more, or learns that they did.
+// resolveLoop resolves commits whose answer was lost: it finds that they took
+// effect, or prevents them from doing so later.
 func (m *Manager) resolveLoop(ctx context.Context) {
 	for {
 		select {
@@ -68,13 +70,13 @@
 		case <-time.After(resolveInterval):
 		}
 		if err := m.committer.Resolve(ctx); err != nil && ctx.Err() == nil {
-			m.config.Log.Debug("lost commits not settled", "reason", err.Error())
+			m.config.Log.Debug("could not resolve commits whose answer was lost", "reason", err.Error())
 		}
 	}
 }
 
-// Push sends a committed change to every member, without waiting; who misses
-// it polls the table.
+// Push sends a committed change to every other member without waiting. A member
+// that misses it gets the change when it polls the table.
 func (m *Manager) Push(_ context.Context, change revision.Change) {
 	members, _ := m.node.Roster()
 	message := peer.ChangeMessage(change)
@@ -97,12 +99,13 @@
 	})
 }
 
-// InForce returns the members that have confirmed the revision and the others.
+// InForce returns the members that have confirmed the revision or a newer one,
+// and those that have not.
 func (m *Manager) InForce(_ context.Context, revision uint64) (confirmed, missing []string) {
 	return m.node.InForce(revision)
 }
 
-// Roster returns the members for the operators' API.
+// Roster implements operator.Fleet.
 func (m *Manager) Roster(context.Context) ([]api.Member, error) {
 	members, _ := m.node.Roster()
 	list := make([]api.Member, 0, len(members.Members))
@@ -116,8 +119,8 @@
 	return list, nil
 }
 
-// admitted reports whether every member that was in the roster when this
-// manager joined has answered it since, or has left.
+// readyToCommit reports whether this manager may commit: every member that was in
+// the roster when it joined has since answered it, or has left.
 func (m *Manager) readyToCommit() bool {
 	members, _ := m.node.Roster()
 	m.mu.Lock()
@@ -135,7 +138,7 @@
 	return m.joiner.Ready()
 }
 
-// others returns the members but for this process.
+// otherMembers returns the members without this process.
 func (m *Manager) otherMembers(members roster.Roster) []revision.Member {
 	var others []revision.Member
 	for _, member := range members.Members {
--- a/internal/manager/handler.go
+++ b/internal/manager/handler.go
@@ -6,7 +6,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/operator"
 )
 
-// Handler returns the operators' API, for holders of the operator key.
+// Handler returns the operators' API. Requests must carry operatorKey.
 func (m *Manager) Handler(operatorKey []byte) http.Handler {
 	return operator.New(operator.Config{
 		Store:   m.node.Store(),
--- a/internal/manager/hosts.go
+++ b/internal/manager/hosts.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// hostInterval is the time between two looks at draining hosts.
+	// drainInterval is the time between two checks of the draining hosts.
 	drainInterval = 200 * time.Millisecond
-	// hostRetries bounds how often a host's row is tried again after a race.
+	// maxRowAttempts bounds the attempts of an update of a host's or a wave's
+	// row that conflicts with other writers.
 	maxRowAttempts = 5
 )
 
-// hostWord is what one entry said of one host.
+// drainConfirmation is an entry's confirmation that it applies a host's row.
 type drainConfirmation struct {
 	sender       pool.Sender
 	host         string
 	confirmation pool.Confirmation
 }
 
-// takeWords hands an entry's words on draining hosts to the host loop; one
-// that is lost comes again.
+// enqueueConfirmations queues an entry's drain confirmations for drainLoop. One
+// that is dropped because the queue is full is sent again by the entry.
 func (m *Manager) enqueueConfirmations(from roster.Identity, confirmations []*peerpb.HostConfirmation) {
 	for _, c := range confirmations {
 		confirmation := drainConfirmation{
@@ -45,7 +46,7 @@
 	}
 }
 
-// hostLoop completes drains.
+// drainLoop collects the entries' confirmations and completes drains.
 func (m *Manager) drainLoop(ctx context.Context) {
 	drains := pool.NewDrainTracker()
 	ticker := time.NewTicker(drainInterval)
@@ -60,12 +61,13 @@
 		case <-ticker.C:
 		}
 		if err := m.completeDrains(ctx, drains); err != nil && ctx.Err() == nil {
-			m.config.Log.Debug("drains not completed", "reason", err.Error())
+			m.config.Log.Debug("could not complete drains", "reason", err.Error())
 		}
 	}
 }
 
-// tendHosts settles each drain that this manager leads and that is complete.
+// completeDrains commits the end of each drain that this manager owns and that is
+// complete, and updates the shards' set of leaving workers.
 func (m *Manager) completeDrains(ctx context.Context, drains *pool.DrainTracker) error {
 	rows, err := m.node.Store().Scan(ctx, pool.KeyPrefix)
 	if err != nil {
@@ -96,8 +98,9 @@
 	return nil
 }
 
-// settleHost commits the end of a drain if nothing runs at the host. The commit
-// rests on the roster's row, so that an entry that joined unseen is not missed.
+// completeDrain commits the end of a drain if nothing runs on the host. The commit
+// is conditional on the roster's row, because an entry that this manager does not
+// know yet might still send requests to the host.
 func (m *Manager) completeDrain(ctx context.Context, drains *pool.DrainTracker, row table.Row, current pool.Assignment, worker bool) error {
 	fences, owned := m.ownsDrain(row.Key, current, worker)
 	if !owned {
@@ -124,16 +127,16 @@
 		return m.node.RefreshRoster(ctx)
 	}
 	if err != nil {
-		return errors.Wrapf(err, "settle the drain of %q", current.Host)
+		return errors.Wrapf(err, "complete the drain of %q", current.Host)
 	}
 	drains.Forget(current.Host)
 	m.config.Log.Info("drain complete", "host", current.Host, "phase", next.Phase, "pool", next.Pool)
 	return nil
 }
 
-// settles reports whether it is this manager's part to settle the host: a
-// worker's is that of the process that manages its shard, which must have
-// nothing there; the fence says that it still does.
+// ownsDrain reports whether this manager may complete the host's drain. The drain
+// of a worker belongs to the process that manages the pool's shard, once no task is
+// left on the worker. The fences are the conditions that it still manages it.
 func (m *Manager) ownsDrain(row string, current pool.Assignment, worker bool) (fences []table.Condition, owned bool) {
 	if !worker || !m.shards.hasPool(current.Pool) {
 		return nil, m.owns(row, time.Now())
@@ -142,7 +145,7 @@
 	return []table.Condition{fence}, drained
 }
 
-// workersOf returns the hosts that run tasks.
+// workerHosts returns the names of the hosts that run workers.
 func workerHosts(hosts []platform.Host) map[string]bool {
 	workers := make(map[string]bool)
 	for _, host := range hosts {
@@ -155,8 +158,8 @@
 	return workers
 }
 
-// assignedHosts is the platform's list with the pools of our own rows, which do
-// not lag.
+// assignedHosts lists the platform's hosts with the pools of the assignment rows,
+// which are more recent than the platform's list.
 type assignedHosts struct {
 	manager *Manager
 }
@@ -179,8 +182,8 @@
 	return listed, nil
 }
 
-// entriesOf returns the processes that send requests to endpoints, and those
-// that did and are proven gone.
+// entrySenders returns the entries, which send requests to endpoints, and the
+// departed processes, which no longer do.
 func entrySenders(members roster.Roster) (senders, gone []pool.Sender) {
 	for _, member := range members.Members {
 		if member.Role == roster.RoleEntry {
@@ -193,7 +196,7 @@
 	return senders, gone
 }
 
-// longestOfAll bounds the work of any catalogue entry.
+// longestRunOverall returns the maximum run time of all catalogue entries.
 func longestRunOverall(c catalogue.Catalogue) time.Duration {
 	longest := time.Duration(0)
 	for _, entry := range c.Entries {
@@ -207,10 +210,11 @@
 	m.assignments.Store(&assignments)
 }
 
-// Busy implements node.Part.
+// IsUrgent implements node.Part.
 func (m *Manager) IsUrgent() bool { return m.shards.holdsPermits() }
 
-// Hosts returns the platform's hosts with their assignments.
+// Hosts implements operator.Hosts. It returns the platform's hosts with their
+// assignments.
 func (m *Manager) Hosts(ctx context.Context) ([]api.Host, error) {
 	listed, err := m.config.Platform.Hosts(ctx)
 	if err != nil {
@@ -240,7 +244,7 @@
 	return hosts, nil
 }
 
-// apiHost describes a host to an operator.
+// apiHost converts a host and its assignment to the operators' API.
 func apiHost(host platform.Host, assignment pool.Assignment) api.Host {
 	return api.Host{
 		Name: host.Name, DataCentre: host.DataCentre, Rack: host.Rack, Pool: assignment.Pool,
@@ -249,8 +253,9 @@
 	}
 }
 
-// DrainHost has a host take no new work. A repeat of the same drain changes
-// nothing. Errors: operator.ErrNotFound, *pool.PhaseError, the table's.
+// DrainHost starts to drain a host, which then gets no new work. It does nothing
+// if the host already has the same drain. It returns operator.ErrNotFound,
+// *pool.PhaseError or the table's errors.
 func (m *Manager) DrainHost(ctx context.Context, name string, purpose pool.Purpose, target string) (api.Host, error) {
 	return m.updateHost(ctx, name, func(current pool.Assignment) (pool.Assignment, error) {
 		if current.Phase != pool.Serving && current.Purpose == purpose && (current.Target == target || purpose == pool.Maintenance) {
@@ -260,7 +265,8 @@
 	})
 }
 
-// ReturnHost has a host serve its pool again. A repeat changes nothing.
+// ReturnHost makes a host serve its pool again. It does nothing if the host
+// already serves.
 func (m *Manager) ReturnHost(ctx context.Context, name string) (api.Host, error) {
 	return m.updateHost(ctx, name, func(current pool.Assignment) (pool.Assignment, error) {
 		if current.Phase == pool.Serving {
@@ -270,7 +276,8 @@
 	})
 }
 
-// changeHost commits a change of a host's row, again after a race.
+// updateHost commits an update of a host's row, and repeats it after a conflict
+// or a lost answer.
 func (m *Manager) updateHost(ctx context.Context, name string, update func(pool.Assignment) (pool.Assignment, error)) (api.Host, error) {
 	listed, err := m.findHost(ctx, name)
 	if err != nil {
@@ -300,7 +307,7 @@
 			m.node.PollNow()
 			return apiHost(listed, next), nil
 		}
-		// After a lost answer the row tells whether the change took effect.
+		// After a lost answer, the next read shows whether the update took effect.
 		if !table.IsConflict(err) && !table.IsUnknown(err) {
 			return api.Host{}, err
 		}
@@ -308,7 +315,7 @@
 	return api.Host{}, errors.Wrapf(table.ErrUnknown, "host %q changes too quickly", name)
 }
 
-// findHost returns a host of the platform's list.
+// findHost returns a host from the platform's list, or operator.ErrNotFound.
 func (m *Manager) findHost(ctx context.Context, name string) (platform.Host, error) {
 	listed, err := m.config.Platform.Hosts(ctx)
 	if err != nil {
--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -14,10 +14,10 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// freezeTimeout bounds one request to end a generation's trade.
+// freezeTimeout bounds one request to freeze a generation's transfers.
 const freezeTimeout = time.Second
 
-// limitLoop keeps every team's permits divided.
+// limitLoop divides the permits of each team among the members.
 func (m *Manager) limitLoop(ctx context.Context) {
 	planner := limit.NewPlanner(limit.PlannerConfig{ReportTimeout: reportTimeout})
 	ticker := time.NewTicker(limitInterval)
@@ -33,12 +33,12 @@
 		case <-ticker.C:
 		}
 		if err := m.planPermits(ctx, planner); err != nil && ctx.Err() == nil {
-			m.config.Log.Debug("permits not divided", "reason", err.Error())
+			m.config.Log.Debug("could not divide the teams' permits", "reason", err.Error())
 		}
 	}
 }
 
-// divide steps the planner for each team that this manager leads.
+// planPermits steps the planner for each team whose row this manager owns.
 func (m *Manager) planPermits(ctx context.Context, planner *limit.Planner) error {
 	rows, err := m.node.Store().Scan(ctx, limit.KeyPrefix)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// divideTeam steps the planner for one team and carries out its decision.
+// planTeamPermits steps the planner for one team and executes its decision.
 func (m *Manager) planTeamPermits(ctx context.Context, planner *limit.Planner, c catalogue.Catalogue, team catalogue.Team, row table.Row) error {
 	allocation := limit.Allocation{Team: team.Name}
 	if row.Version != table.Absent {
@@ -84,7 +84,7 @@
 	return m.commitAllocation(ctx, decision.Next, row)
 }
 
-// commitGrant writes a team's row on condition of the version that was read.
+// commitAllocation writes a team's row on condition of the version that was read.
 func (m *Manager) commitAllocation(ctx context.Context, next limit.Allocation, row table.Row) error {
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// freeze asks a member for its report.
+// freeze requests a member's report and passes it to the planner.
 func (m *Manager) freeze(ctx context.Context, planner *limit.Planner, request limit.FreezeRequest) {
 	if request.To == m.node.Member() {
 		if report, ok := m.node.Ledger().Freeze(request); ok {
@@ -116,7 +116,7 @@
 	}
 	message, err := peer.FreezeMessage(request)
 	if err != nil {
-		m.config.Log.Error("freeze not sent", "reason", err.Error())
+		m.config.Log.Error("could not encode freeze request", "reason", err.Error())
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, freezeTimeout)
@@ -127,7 +127,7 @@
 	}
 }
 
-// live returns the processes that should hold permits: those that dispatch
+// activeMembers returns the members that may hold permits, because they dispatch
 // requests or tasks.
 func activeMembers(members roster.Roster) []limit.Member {
 	var names []limit.Member
@@ -139,8 +139,9 @@
 	return names
 }
 
-// ended returns the row's members that the roster has dropped, which it does
-// on evidence only.
+// departedMembers returns the members in the allocation that are no longer in the
+// roster. The roster removes a member only on evidence that its process has
+// ended.
 func departedMembers(allocation limit.Allocation, members roster.Roster) []limit.Member {
 	present := make(map[limit.Member]bool)
 	for _, member := range members.Members {
@@ -160,7 +161,8 @@
 	return names
 }
 
-// longestRun bounds the work of a team: the longest of the entries that it may use.
+// longestTeamRun returns the maximum run time of the entries that the team may
+// use.
 func longestTeamRun(c catalogue.Catalogue, team string) time.Duration {
 	longest := time.Duration(0)
 	for _, entry := range c.Entries {
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -1,10 +1,12 @@
-// Package manager is the operators' side of each entry host: it commits and
-// pushes configuration, divides permits, and keeps the roster true.
+// Package manager implements the manager process, which runs beside the entry
+// on each entry host. It commits and pushes configuration, divides permits among
+// the members, removes departed members from the roster, completes drains, runs
+// maintenance waves, and runs the task controllers of the queues.
 //
-// Every manager may do all of this at any time: what it writes is conditional
-// on the versions that it read, so that of two managers one wins. To spare the
-// table, the work on one team or row is left to the manager that rendezvous
-// hashing names among those that were heard of lately.
+// Several managers may do the same work at once: every write is conditional on
+// the versions that were read, so one of them wins. To save table operations,
+// only the owner of a row works on it. The owner is chosen by rendezvous hashing
+// among the managers that were heard from recently.
 //
 // # Usage
 //
@@ -34,59 +36,65 @@
 )
 
 const (
-	// limitInterval is the time between two looks at the permits' rows.
+	// limitInterval is the time between two reads of the limits' rows.
 	limitInterval = 300 * time.Millisecond
-	// rosterInterval is the time between two looks at the roster's evidence.
+	// rosterInterval is the time between two checks for departed members.
 	rosterInterval = time.Second
-	// reportTimeout is how long a rebase waits for members that do not answer.
+	// reportTimeout is how long a rebase waits for the members' reports.
 	reportTimeout = 2 * time.Second
-	// silence is the time after which a manager's part falls to the others.
+	// managerTimeout is how long a manager may be silent before the other
+	// managers take over the rows that it owns.
 	managerTimeout = 5 * time.Second
-	// reportQueue bounds the permit reports that wait for the planner.
+	// eventQueueSize bounds the permit reports, and the drain confirmations,
+	// that wait to be handled.
 	eventQueueSize = 1024
 )
 
-// HostLister returns the platform's lagging list of hosts.
+// HostLister returns the platform's list of hosts, which may be out of date.
 type HostLister interface {
 	Hosts(ctx context.Context) ([]platform.Host, error)
 }
 
-// Config constructs a Manager.
+// Config configures a Manager.
 type Config struct {
 	Node     *node.Node
 	Platform Platform
-	// ListLag is how far the platform's list may be behind the truth.
+	// ListLag is the maximum age of the platform's list of hosts.
 	ListLag time.Duration
-	// RollOutTime is the weight of waves' time over the mean of the
-	// deployment's weights.
+	// RollOutTime is the deployment's weight of roll-out time, relative to the
+	// mean of its weights; see wave.Config.
 	RollOutTime float64
-	// RebootLimit is how long a host may take to come back in a wave.
+	// RebootLimit bounds the time from the start of a host's maintenance until
+	// it serves again. After that, its maintenance counts as failed.
 	RebootLimit time.Duration
-	// ClaimRetention is how long former generations of the roster may matter.
+	// ClaimRetention is how long the roster keeps former generations, which
+	// locate the replicas of older claims.
 	ClaimRetention time.Duration
 	Log            *log.Logger
 }
 
-// Manager is a node.Part.
+// Manager does the periodic work of a manager process. It implements node.Part
+// and, for the operators' API, operator.Committer, Fleet, Hosts and Waves.
 type Manager struct {
 	config        Config
 	node          *node.Node
 	reports       chan limit.Report
 	wake          chan struct{}
 	confirmations chan drainConfirmation
-	// assignments are the hosts' rows as last read.
+	// assignments holds the hosts' rows as last read, keyed by host.
 	assignments atomic.Pointer[map[string]pool.Assignment]
 
 	committer *revision.Committer
 	shards    *shards
-	// pushes tracks what goes on after an operator was answered.
+	// pendingPushes tracks pushes that continue after the operator's request
+	// was answered.
 	pendingPushes sync.WaitGroup
 
 	mu     sync.Mutex
 	joiner *revision.Joiner
 }
 
-// New returns a manager over the node.
+// New returns a Manager for the node.
 func New(config Config) *Manager {
 	m := &Manager{
 		config:        config,
@@ -100,7 +108,8 @@
 	return m
 }
 
-// Run does the periodic work until the context ends, then delivers one error.
+// Run does the periodic work until ctx is cancelled. It then waits for pending
+// pushes and sends the context's error on the returned channel.
 func (m *Manager) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -118,10 +127,11 @@
 	return done
 }
 
-// Fill implements node.Part.
+// FillState implements node.Part.
 func (m *Manager) FillState(*peerpb.State) {}
 
-// Absorb implements node.Part: it takes reports on permits and words on hosts.
+// ApplyState implements node.Part. It queues the sender's drain confirmations
+// and permit reports.
 func (m *Manager) ApplyState(from roster.Identity, state *peerpb.State) {
 	m.enqueueConfirmations(from, state.GetHosts())
 	for _, report := range state.GetReports() {
@@ -135,7 +145,8 @@
 // PermitsChanged implements node.Part.
 func (m *Manager) PermitsChanged() {}
 
-// takeReport hands a report to the planner; one that is lost comes again.
+// enqueueReport queues a permit report for limitLoop. A report that is dropped
+// because the queue is full is sent again by its member.
 func (m *Manager) enqueueReport(report limit.Report) {
 	select {
 	case m.reports <- report:
@@ -143,7 +154,7 @@
 	}
 }
 
-// wakeUp has the permits looked at before the next interval.
+// wakeLimitLoop makes limitLoop run before the next interval.
 func (m *Manager) wakeLimitLoop() {
 	select {
 	case m.wake <- struct{}{}:
@@ -151,7 +162,7 @@
 	}
 }
 
-// leads reports whether the work on a row is this manager's.
+// owns reports whether this manager is the one that works on the row.
 func (m *Manager) owns(row string, now time.Time) bool {
 	best, weight := m.node.Self().Name, rendezvousWeight(row, m.node.Self().Name)
 	for _, peer := range m.node.Peers() {
@@ -165,7 +176,7 @@
 	return best == m.node.Self().Name
 }
 
-// weigh is the rendezvous weight of a manager for a row.
+// rendezvousWeight returns a manager's weight for a row.
 func rendezvousWeight(row, name string) uint64 {
 	return xxhash.Sum64String(row + "\x00" + name)
 }
--- a/internal/manager/members.go
+++ b/internal/manager/members.go
@@ -11,7 +11,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// rosterLoop removes members on evidence and settles former generations.
+// rosterLoop removes departed members from the roster and prunes its former
+// generations.
 func (m *Manager) rosterLoop(ctx context.Context) {
 	absence := newHostAbsence(m.config.ListLag)
 	for {
@@ -21,12 +22,13 @@
 		case <-time.After(rosterInterval):
 		}
 		if err := m.reconcileRoster(ctx, absence); err != nil && ctx.Err() == nil {
-			m.config.Log.Debug("roster not tended", "reason", err.Error())
+			m.config.Log.Debug("could not reconcile the roster", "reason", err.Error())
 		}
 	}
 }
 
-// tendRoster makes one round over the roster.
+// reconcileRoster removes members that have departed, prunes former generations
+// and deletes obsolete acknowledgements.
 func (m *Manager) reconcileRoster(ctx context.Context, absence *hostAbsence) error {
 	hosts, err := m.config.Platform.Hosts(ctx)
 	if err != nil {
@@ -60,7 +62,7 @@
 	return m.deleteAcks(ctx, members.ObsoleteAcks(acks))
 }
 
-// dropAcks deletes the acknowledgements of processes that no generation of the
+// deleteAcks deletes the acknowledgements of processes that no generation of the
 // roster mentions.
 func (m *Manager) deleteAcks(ctx context.Context, obsolete []roster.Identity) error {
 	if len(obsolete) == 0 {
@@ -73,7 +75,7 @@
 	return errors.Wrap(m.node.Store().Commit(ctx, txn), "delete acknowledgements")
 }
 
-// readAcks reads which roster versions the members have acknowledged.
+// readAcks returns the roster version that each member has acknowledged.
 func (m *Manager) readAcks(ctx context.Context) (roster.Acks, error) {
 	rows, err := m.node.Store().Scan(ctx, roster.AckPrefix)
 	if err != nil {
@@ -88,7 +90,8 @@
 	return acks, nil
 }
 
-// tendMember removes a member whose end is proven.
+// removeDepartedMember removes the member if there is evidence that its process
+// has ended: hostGone, or the acknowledgement that completes its handover.
 func (m *Manager) removeDepartedMember(ctx context.Context, member roster.Member, members roster.Roster, acks roster.Acks, gone bool) error {
 	evidence := roster.EvidenceHostGone
 	switch {
@@ -104,24 +107,25 @@
 	})
 }
 
-// handedOver reports whether a leaving member acknowledged a version in which
-// it holds nothing.
+// hasHandedOver reports whether a leaving member has acknowledged the current
+// roster version, in which it holds no claims.
 func hasHandedOver(member roster.Member, members roster.Roster, acks roster.Acks) bool {
 	return member.State == roster.StateLeaving && acks[member.Identity] >= members.Version
 }
 
-// hostWatch tells since when the platform's list has lacked a member's host.
+// hostAbsence tracks since when the platform's list has been missing a member's
+// host.
 type hostAbsence struct {
 	listLag      time.Duration
 	missingSince map[roster.Identity]time.Time
 }
 
-// newHostWatch returns a watch over a list with that lag.
+// newHostAbsence returns a hostAbsence for a list that may lag by listLag.
 func newHostAbsence(lag time.Duration) *hostAbsence {
 	return &hostAbsence{listLag: lag, missingSince: make(map[roster.Identity]time.Time)}
 }
 
-// observe takes one reading of the list.
+// observe records one reading of the list.
 func (a *hostAbsence) observe(now time.Time, members roster.Roster, listed map[string]bool) {
 	missingSince := make(map[roster.Identity]time.Time)
 	for _, member := range members.Members {
@@ -137,8 +141,8 @@
 	a.missingSince = missingSince
 }
 
-// gone reports whether the list has lacked the member's host for longer than
-// its lag.
+// isGone reports whether the member's host has been missing from the list for
+// longer than listLag.
 func (a *hostAbsence) isGone(now time.Time, member roster.Member) bool {
 	since, ok := a.missingSince[member.Identity]
 	return ok && now.Sub(since) > a.listLag
--- a/internal/manager/records.go
+++ b/internal/manager/records.go
@@ -13,13 +13,13 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// records reads charges for the operators' API.
+// records reads charges and unproven runs for the operators' API.
 type records struct {
 	store table.Store
 }
 
-// Charge implements operator.Records: it traces a charge to its run and, for a
-// marked request, to its claim.
+// Charge implements operator.Records. It traces a charge to its run and, for an
+// idempotent request, to its claim.
 func (r records) Charge(ctx context.Context, id string) (api.Charge, error) {
 	run, err := charge.ParseRunID(id)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return runs, nil
 }
 
-// apiRun describes a run to an operator.
+// apiRun converts a charge to its run in the operators' API.
 func apiRun(c charge.Charge, evidence string) api.Run {
 	return api.Run{
 		Run: c.Run.String(), Entry: c.Service, Team: c.Team, Endpoint: c.Endpoint,
@@ -73,7 +73,7 @@
 	}
 }
 
-// evidence tells what a charge rests on.
+// evidence describes the findings that prove a charge.
 func evidence(trace charge.Trace) string {
 	findings := make([]string, len(trace.Findings))
 	for i, finding := range trace.Findings {
--- a/internal/manager/service.go
+++ b/internal/manager/service.go
@@ -14,18 +14,19 @@
 	"github.com/lovagedyke/lovagedyke/internal/task/runner"
 )
 
-// peerService answers the peer calls of a manager.
+// peerService serves a manager's peer calls: those of every node, and task
+// submission and cancellation.
 type peerService struct {
 	*node.Service
 	manager *Manager
 }
 
-// Service returns the manager's answers to peers.
+// Service returns the service of the manager's peer port.
 func (m *Manager) Service() peerpb.Peer {
 	return &peerService{Service: m.node.Service(), manager: m}
 }
 
-// SubmitTask takes a task if this manager manages its queue.
+// SubmitTask submits a task if this process manages its queue's shard.
 func (s *peerService) SubmitTask(ctx context.Context, request *peerpb.SubmitTaskRequest) (*peerpb.TaskReply, error) {
 	var spec task.Spec
 	if err := json.Unmarshal(request.GetSpec(), &spec); err != nil {
@@ -39,7 +40,7 @@
 	return taskReply(reply, err)
 }
 
-// CancelTask cancels a task if this manager manages its queue.
+// CancelTask cancels a task if this process manages its queue's shard.
 func (s *peerService) CancelTask(ctx context.Context, request *peerpb.CancelTaskRequest) (*peerpb.TaskReply, error) {
 	managed, err := s.manager.shards.forQueue(request.GetQueue())
 	if err != nil {
@@ -49,7 +50,8 @@
 	return taskReply(reply, err)
 }
 
-// taskReply encodes a reply; another process's queue is a failed precondition.
+// taskReply encodes a reply. If another process manages the queue's shard, it
+// returns a failed precondition.
 func taskReply(reply task.Reply, err error) (*peerpb.TaskReply, error) {
 	if errors.Is(err, runner.ErrNotHolder) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, err.Error())
--- a/internal/manager/shards.go
+++ b/internal/manager/shards.go
@@ -19,16 +19,18 @@
 )
 
 const (
-	// shardInterval is the time between two looks at the shards' permits.
+	// shardInterval is the time between two rounds of the shards' loop.
 	shardInterval = 100 * time.Millisecond
 	// workerTimeout bounds one call to a worker.
 	workerTimeout = 2 * time.Second
 )
 
-// errNoQueue means that the catalogue has no such queue.
+// errNoQueue is returned for a queue that is not in the catalogue, or whose
+// runner has not been started yet.
 var errNoQueue = errors.New("queue is not in the catalogue")
 
-// Platform is what tasks need of the platform besides the table.
+// Platform is the part of the platform's API that a manager uses, apart from the
+// table.
 type Platform interface {
 	HostLister
 	Rebooter
@@ -37,8 +39,8 @@
 
 var _ Platform = (*platform.Client)(nil)
 
-// shards runs the task controllers of all pools that have queues. A shard is a
-// pool, and its queues change with the catalogue.
+// shards runs one task controller for each pool that has queues. The queues of a
+// pool form a shard; they change with the catalogue.
 type shards struct {
 	manager *Manager
 	workers *worker.Client
@@ -46,18 +48,19 @@
 
 	mu     sync.Mutex
 	byPool map[string]*shard
-	// reserved are the permits that this process holds for each team's tasks.
+	// reserved counts the permits that this process has acquired for the tasks
+	// of each team.
 	reserved map[string]int
 }
 
-// shard is one pool's runner with the queues that it was started for.
+// shard is the runner of one pool and the queues that it was started with.
 type shard struct {
 	runner *runner.Runner
 	queues []string
 	stop   context.CancelFunc
 }
 
-// newShards returns shards that run nothing yet.
+// newShards returns shards without runners.
 func newShards(m *Manager) *shards {
 	return &shards{
 		manager:  m,
@@ -67,7 +70,8 @@
 	}
 }
 
-// run follows the catalogue and the permits until the context ends.
+// run starts and stops runners and allocates permits to their queues until ctx
+// is cancelled.
 func (s *shards) run(ctx context.Context) {
 	defer s.workers.Close()
 	defer s.runners.Wait()
@@ -85,7 +89,7 @@
 	}
 }
 
-// follow starts a runner for each pool with queues, and a new one when the
+// reconcile starts a runner for each pool with queues, and replaces it when the
 // pool's queues have changed.
 func (s *shards) reconcile(ctx context.Context, c catalogue.Catalogue) {
 	wanted := queuesByPool(c)
@@ -104,7 +108,7 @@
 	}
 }
 
-// start runs the task controller of a pool.
+// start starts the runner of a pool.
 func (s *shards) start(ctx context.Context, pool string, queues []string) *shard {
 	m := s.manager
 	r := runner.New(runner.Config{
@@ -113,11 +117,11 @@
 		Workers: s.workers, Log: m.config.Log, ListLag: m.config.ListLag,
 	})
 	ctx, stop := context.WithCancel(ctx)
-	s.runners.Go(func() { _ = r.Run(ctx) }) // ends with ctx, whose error it returns
+	s.runners.Go(func() { _ = r.Run(ctx) }) // returns only the context's error
 	return &shard{runner: r, queues: queues, stop: stop}
 }
 
-// of returns the runner that manages a queue.
+// forQueue returns the runner of the pool that the queue belongs to.
 func (s *shards) forQueue(queue string) (*runner.Runner, error) {
 	entry, ok := s.manager.node.Configuration().View().State.Catalogue.Entries[queue]
 	if !ok || entry.Kind != catalogue.KindQueue {
@@ -132,9 +136,10 @@
 	return current.runner, nil
 }
 
-// balance takes permits for the tasks that wait and run, and bounds each lane
-// by the permits in hand. A permit is given back only after the lanes' bounds
-// were lowered, so that no task can start under it any more.
+// allocatePermits acquires permits for the waiting and running tasks of each team,
+// and limits each team queue to its part of them. Excess permits are released
+// only after the limits were lowered, so that no task can start under a released
+// permit.
 func (s *shards) allocatePermits(c catalogue.Catalogue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,8 +168,8 @@
 	}
 }
 
-// reserve takes permits up to the wanted number and returns how many of those
-// in hand are no longer wanted.
+// reserve acquires permits up to the wanted number and returns how many reserved
+// permits are in excess of it.
 func (s *shards) reserve(team string, wanted int) (excess int) {
 	ledger := s.manager.node.Ledger()
 	if shortage := wanted - s.reserved[team]; shortage > 0 {
@@ -181,7 +186,7 @@
 	return max(0, s.reserved[team]-wanted)
 }
 
-// snapshot returns the shards' state for the dump.
+// snapshot returns the dumps of the runners, keyed by pool.
 func (s *shards) snapshot() map[string]runner.Dump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +197,7 @@
 	return dumps
 }
 
-// queuesByPool returns the names of each pool's queues in order.
+// queuesByPool returns the sorted names of each pool's queues.
 func queuesByPool(c catalogue.Catalogue) map[string][]string {
 	queues := make(map[string][]string)
 	for _, name := range c.EntryNames() {
@@ -203,7 +208,8 @@
 	return queues
 }
 
-// wantedBy returns the permits that the lanes could use.
+// wantedPermits returns the number of permits that the team queues could use: one
+// for each waiting or running task.
 func wantedPermits(teamQueues []task.TeamQueueState) int {
 	wanted := 0
 	for _, queue := range teamQueues {
@@ -212,8 +218,9 @@
 	return wanted + runningTasks(teamQueues)
 }
 
-// runningIn returns the tasks that are placed or running. A lane stands in the
-// dump once for each class, each time with all that it runs.
+// runningTasks returns the number of tasks that are placed or running. The dump
+// lists a team queue once for each class, each time with the total of its running
+// tasks.
 func runningTasks(teamQueues []task.TeamQueueState) int {
 	running := make(map[task.TeamQueue]int)
 	for _, queue := range teamQueues {
@@ -226,8 +233,9 @@
 	return sum
 }
 
-// divideLanes bounds a team's lanes so that together they run at most permits:
-// each keeps what it runs, and the rest goes to the lanes that wait, in turn.
+// divideTeamPermits sets the limits of a team's queues so that together they run
+// at most the given number of tasks. Each queue keeps its running tasks; the
+// remaining permits go to the queues with waiting tasks, round-robin.
 func divideTeamPermits(c catalogue.Catalogue, teamQueues []task.TeamQueueState, permits int, limits map[task.TeamQueue]task.Limit) {
 	bounds, waiting := make(map[task.TeamQueue]int), make(map[task.TeamQueue]int)
 	for _, queue := range teamQueues {
@@ -252,7 +260,7 @@
 	}
 }
 
-// laneLimit returns a lane's limit with the team's weight on the queue.
+// teamQueueLimit returns a team queue's limit with the team's weight on the queue.
 func teamQueueLimit(c catalogue.Catalogue, key task.TeamQueue, bound int) task.Limit {
 	entry := c.Entries[key.Queue]
 	if entry.Limit > 0 {
@@ -261,8 +269,8 @@
 	return task.Limit{MaxRunning: bound, Closed: bound <= 0, Weight: float64(c.Weight(entry, key.Team))}
 }
 
-// closeUnseen lets no task start in a lane that nothing was counted for yet:
-// it has no permits until the next round.
+// closeUnobserved closes the team queues that no dump lists yet. They get permits
+// in the next round.
 func closeUnobserved(c catalogue.Catalogue, limits map[task.TeamQueue]task.Limit) {
 	for name, entry := range c.Entries {
 		if entry.Kind != catalogue.KindQueue {
@@ -277,7 +285,8 @@
 	}
 }
 
-// teamsOf returns the teams that have lanes or permits, in order.
+// teamNames returns the sorted names of the teams that have team queues or
+// reserved permits.
 func teamNames(teamQueues map[string][]task.TeamQueueState, reserved map[string]int) []string {
 	teams := make(map[string]bool)
 	for team := range teamQueues {
@@ -289,7 +298,7 @@
 	return slices.Sorted(maps.Keys(teams))
 }
 
-// setLeaving has the workers of these hosts get nothing new.
+// setLeaving replaces the hosts whose workers must not receive new tasks.
 func (s *shards) setLeaving(hosts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,9 +307,9 @@
 	}
 }
 
-// drained reports whether the pool's shard has no work at the host's worker,
-// under the fence that is returned. It is false where another process manages
-// the shard: the host is that process's to settle.
+// isDrained reports whether the pool's shard has no tasks on the host's worker.
+// The result holds as long as the returned fence does. It is false if another
+// process manages the shard, which then completes the host's drain itself.
 func (s *shards) isDrained(pool, host string) (fence table.Condition, drained bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -312,14 +321,14 @@
 	return fence, drained && err == nil
 }
 
-// has reports whether the pool has queues, and so a shard.
+// hasPool reports whether the pool has a runner, that is, whether it has queues.
 func (s *shards) hasPool(pool string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byPool[pool] != nil
 }
 
-// busy reports whether this process holds permits for tasks.
+// holdsPermits reports whether any permits are reserved for tasks.
 func (s *shards) holdsPermits() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/manager/shards_test.go
+++ b/internal/manager/shards_test.go
@@ -10,8 +10,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/task"
 )
 
-// Whatever waits and runs, a team's lanes may together run no more than its
-// permits, or than what runs already; and no permit that could be used is left.
+// The limits of a team's queues add up to the team's permits, except that they
+// are never below the running tasks nor above the running and waiting tasks.
 func TestTeamQueuesStayWithinPermits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := catalogue.New()
@@ -36,17 +36,17 @@
 		sum := 0
 		for key, limit := range limits {
 			if got, want := limit.Closed, limit.MaxRunning <= 0; got != want {
-				t.Fatalf("lane %v with %d permits: got closed %v, want %v", key, limit.MaxRunning, got, want)
+				t.Fatalf("team queue %v with %d permits: got closed %v, want %v", key, limit.MaxRunning, got, want)
 			}
 			sum += limit.MaxRunning
 		}
 		if got, want := sum, max(running, min(permits, running+waiting)); got != want {
-			t.Fatalf("permits of all lanes: got %d, want %d", got, want)
+			t.Fatalf("permits of all team queues: got %d, want %d", got, want)
 		}
 	})
 }
 
-// A lane that nothing was counted for yet has no permits.
+// A team queue that has not been observed yet is closed.
 func TestUnobservedTeamQueuesAreClosed(t *testing.T) {
 	c := catalogue.New()
 	c.Teams["tackle"] = catalogue.Team{Name: "tackle"}
@@ -60,8 +60,8 @@
 		key  task.TeamQueue
 		want bool
 	}{
-		"seen":   {observed, false},
-		"unseen": {task.TeamQueue{Queue: "plans", Team: "bait"}, true},
+		"observed":   {observed, false},
+		"unobserved": {task.TeamQueue{Queue: "plans", Team: "bait"}, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -71,6 +71,6 @@
 		})
 	}
 	if got, want := len(limits), 2; got != want {
-		t.Errorf("lanes: got %d, want %d", got, want)
+		t.Errorf("team queues: got %d, want %d", got, want)
 	}
 }
--- a/internal/manager/wave_changes.go
+++ b/internal/manager/wave_changes.go
@@ -12,7 +12,8 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// StartWave starts a wave over a pool; one that has not finished goes on.
+// StartWave starts a wave over a pool. If the pool has an unfinished wave, it only
+// changes the number of hosts that the pool needs.
 func (m *Manager) StartWave(ctx context.Context, request api.WaveRequest) (api.Wave, error) {
 	return m.updateWave(ctx, request.Pool, func(current waveRow, exists bool) (waveRow, error) {
 		if exists && !current.Finished {
@@ -23,7 +24,7 @@
 	})
 }
 
-// ResumeWave has a stopped wave go on.
+// ResumeWave resumes a wave that has stopped after failures.
 func (m *Manager) ResumeWave(ctx context.Context, name string) (api.Wave, error) {
 	return m.updateWave(ctx, name, func(current waveRow, exists bool) (waveRow, error) {
 		if !exists {
@@ -34,8 +35,8 @@
 	})
 }
 
-// StopWave ends a wave: no further host is taken down, and those that are down
-// are the operator's to return.
+// StopWave ends a wave: no further host is taken down. Hosts that are down must be
+// returned by the operator.
 func (m *Manager) StopWave(ctx context.Context, name string) (api.Wave, error) {
 	return m.updateWave(ctx, name, func(current waveRow, exists bool) (waveRow, error) {
 		if !exists {
@@ -47,7 +48,7 @@
 	})
 }
 
-// Waves lists the waves.
+// Waves returns the waves of all pools.
 func (m *Manager) Waves(ctx context.Context) ([]api.Wave, error) {
 	rows, err := m.node.Store().Scan(ctx, waveKeyPrefix)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return list, nil
 }
 
-// changeWave commits a change of a wave's row, again after a race.
+// updateWave commits an update of a wave's row, and repeats it after a conflict.
 func (m *Manager) updateWave(ctx context.Context, name string, update func(current waveRow, exists bool) (waveRow, error)) (api.Wave, error) {
 	key := waveKeyPrefix + name
 	for range maxRowAttempts {
@@ -101,7 +102,7 @@
 	return api.Wave{}, errors.Wrapf(table.ErrUnavailable, "wave of pool %q changes too quickly", name)
 }
 
-// apiWave describes a wave to an operator.
+// apiWave converts a wave's row to the operators' API.
 func apiWave(row waveRow) api.Wave {
 	described := api.Wave{
 		Pool: row.Pool, Need: row.Need, Verdict: row.Verdict, Reason: row.Reason,
--- a/internal/manager/waves.go
+++ b/internal/manager/waves.go
@@ -15,31 +15,33 @@
 )
 
 const (
-	// waveInterval is the time between two looks at the waves.
+	// waveInterval is the time between two steps of the waves.
 	waveInterval = 500 * time.Millisecond
-	// waveKeyPrefix starts the keys of the waves' rows, one for each pool.
+	// waveKeyPrefix is the key prefix of the waves' rows, one for each pool.
 	waveKeyPrefix = "wave/"
-	// fullBudget stands for the availability budget, which is not counted yet.
+	// fullAvailabilityBudget is passed to waves because the use of the
+	// availability budget is not measured yet.
 	fullAvailabilityBudget = 1
 )
 
-// waveRow is the value of a wave's row: what must outlive a manager.
+// waveRow is the value of a wave's row: the state that the next manager needs
+// when this one ends.
 type waveRow struct {
 	Pool string `json:"pool"`
 	Need int    `json:"need"`
-	// Hosts are those that the wave has begun to take down.
+	// Hosts holds the hosts whose maintenance has started, keyed by name.
 	Hosts map[string]waveHost `json:"hosts,omitempty"`
-	// Resumed counts an operator's words to go on after failures.
+	// Resumed counts the operators' requests to resume the wave.
 	Resumed  int    `json:"resumed"`
 	Verdict  string `json:"verdict"`
 	Reason   string `json:"reason,omitempty"`
 	Finished bool   `json:"finished,omitempty"`
 }
 
-// waveHost is where one host of a wave stands.
+// waveHost is the progress of a host's maintenance.
 type waveHost struct {
 	State wave.State `json:"state"`
-	// Boot is the count of the host's starts when it was taken down.
+	// Boot is the host's boot count at DownAt, when it was taken down.
 	Boot     uint64    `json:"boot"`
 	DownAt   time.Time `json:"down-at"`
 	Rebooted bool      `json:"rebooted,omitempty"`
@@ -50,20 +52,21 @@
 	Reboot(ctx context.Context, host string) error
 }
 
-// waves drives the maintenance waves that this manager leads. It is used by one
-// loop only.
+// waves runs the maintenance waves that this manager owns. It is not safe for
+// concurrent use.
 type waves struct {
 	manager *Manager
 	byPool  map[string]*runningWave
 }
 
-// runningWave is a wave's decision with what it was told of last.
+// runningWave is a wave's state machine and the count of resumptions that it has
+// handled.
 type runningWave struct {
 	wave    *wave.Wave
 	resumed int
 }
 
-// waveLoop steps the waves until the context ends.
+// waveLoop steps the waves until ctx is cancelled.
 func (m *Manager) waveLoop(ctx context.Context) {
 	w := &waves{manager: m, byPool: make(map[string]*runningWave)}
 	for {
@@ -73,12 +76,12 @@
 		case <-time.After(waveInterval):
 		}
 		if err := w.stepAll(ctx); err != nil && ctx.Err() == nil {
-			m.config.Log.Debug("waves not stepped", "reason", err.Error())
+			m.config.Log.Debug("could not step the maintenance waves", "reason", err.Error())
 		}
 	}
 }
 
-// tend steps each wave that this manager leads.
+// stepAll steps each unfinished wave that this manager owns.
 func (w *waves) stepAll(ctx context.Context) error {
 	rows, err := w.manager.node.Store().Scan(ctx, waveKeyPrefix)
 	if err != nil {
@@ -106,7 +109,7 @@
 	return nil
 }
 
-// resultsOf counts how maintenance went in the waves that are under way.
+// totalResults counts the maintenance results of all unfinished waves.
 func totalResults(rows []table.Row) (wave.Results, error) {
 	var total wave.Results
 	for _, row := range rows {
@@ -121,8 +124,8 @@
 	return total, nil
 }
 
-// results counts how maintenance went in this wave; one that has finished says
-// nothing of the next.
+// results counts the wave's maintenance results. A finished wave has none, because
+// they say nothing about the next one.
 func (r waveRow) results() wave.Results {
 	var results wave.Results
 	if r.Finished {
@@ -139,8 +142,8 @@
 	return results
 }
 
-// step brings one wave forward. The row is written before a host is taken
-// down, so that a manager that takes over knows of it.
+// step advances one wave. It writes the row before it drains a host, so that a
+// manager that takes over knows of the drain.
 func (w *waves) step(ctx context.Context, row table.Row, current waveRow, otherPools wave.Results) error {
 	hosts, err := w.poolHosts(ctx, current.Pool)
 	if err != nil {
@@ -168,7 +171,8 @@
 	return nil
 }
 
-// decide steps the wave's decision, after telling it of an operator's word.
+// decide steps the wave's state machine, after passing on an operator's request
+// to resume.
 func (w *waves) decide(now time.Time, view wave.View, row waveRow) wave.Decision {
 	running := w.byPool[row.Pool]
 	if running == nil {
@@ -182,14 +186,14 @@
 	return running.wave.Step(now, view)
 }
 
-// poolHost is a host of the pool as list and assignment tell.
+// poolHost combines a host's assignment with its state on the platform.
 type poolHost struct {
 	api.Host
 	boot uint64
 	live bool
 }
 
-// poolHosts returns the hosts assigned to the pool, by name.
+// poolHosts returns the hosts assigned to the pool, keyed by name.
 func (w *waves) poolHosts(ctx context.Context, name string) (map[string]poolHost, error) {
 	hosts, err := w.manager.Hosts(ctx)
 	if err != nil {
@@ -213,7 +217,8 @@
 	return ofPool, nil
 }
 
-// observe brings the hosts of the wave forward and returns the pool's state.
+// observePool advances the maintenance of the wave's hosts and returns the pool's
+// state for the wave.
 func (w *waves) observePool(ctx context.Context, now time.Time, hosts map[string]poolHost, row *waveRow) wave.View {
 	view := wave.View{Need: row.Need, BudgetLeft: fullAvailabilityBudget}
 	for name, host := range hosts {
@@ -227,7 +232,7 @@
 	return view
 }
 
-// stateOf tells where a host stands in the wave.
+// hostState returns a host's state in the wave.
 func hostState(host poolHost, progress waveHost) wave.State {
 	serving := host.live && host.Phase == string(pool.Serving)
 	switch {
@@ -244,7 +249,8 @@
 	}
 }
 
-// advance brings one host of the wave forward: drained, rebooted, back.
+// advanceHost takes the next step of a host's maintenance: drain, reboot or
+// return.
 func (w *waves) advanceHost(ctx context.Context, now time.Time, host poolHost, progress waveHost) waveHost {
 	m := w.manager
 	switch {
@@ -253,18 +259,18 @@
 		progress.State = wave.StateDone
 	case host.boot > progress.Boot && host.live:
 		if _, err := m.ReturnHost(ctx, host.Name); err != nil {
-			m.config.Log.Warn("host not returned", "host", host.Name, "reason", err.Error())
+			m.config.Log.Warn("could not return host to its pool", "host", host.Name, "reason", err.Error())
 		}
 	case now.Sub(progress.DownAt) > m.config.RebootLimit:
 		progress.State = wave.StateFailed
 	case host.Phase == string(pool.Serving):
-		// The drain did not follow the row: its manager ended in between.
+		// The manager that wrote the row ended before it started the drain.
 		if _, err := m.DrainHost(ctx, host.Name, pool.Maintenance, ""); err != nil {
-			m.config.Log.Warn("host not drained", "host", host.Name, "reason", err.Error())
+			m.config.Log.Warn("could not start to drain host", "host", host.Name, "reason", err.Error())
 		}
 	case host.Phase == string(pool.Drained) && !progress.Rebooted:
 		if err := m.config.Platform.Reboot(ctx, host.Name); err != nil {
-			m.config.Log.Warn("host not rebooted", "host", host.Name, "reason", err.Error())
+			m.config.Log.Warn("could not reboot host", "host", host.Name, "reason", err.Error())
 			return progress
 		}
 		progress.Rebooted = true
@@ -272,7 +278,7 @@
 	return progress
 }
 
-// commit writes the row if it has changed.
+// commit writes the row if next differs from current.
 func (w *waves) commit(ctx context.Context, row table.Row, current, next waveRow) error {
 	before, err := json.Marshal(current)
 	if err != nil {
@@ -288,7 +294,7 @@
 	})
 }
 
-// clone returns a row whose map may be changed.
+// clone returns a copy of the row with its own map of hosts.
 func (r waveRow) clone() waveRow {
 	hosts := make(map[string]waveHost, len(r.Hosts))
 	for name, host := range r.Hosts {
@@ -298,7 +304,7 @@
 	return r
 }
 
-// decodeWave reads a wave's row.
+// decodeWave decodes a wave's row.
 func decodeWave(row table.Row) (waveRow, error) {
 	var current waveRow
 	err := json.Unmarshal(row.Value, &current)
