--- a/internal/operator/catalogue.go
+++ b/internal/operator/catalogue.go
@@ -31,17 +31,17 @@
 	}
 	desired, problems := catalogue.FromAPI(request.Catalogue)
 	if len(problems) > 0 {
-		writeProblem(w, invalid(problems))
+		writeProblem(w, invalidCatalogue(problems))
 		return
 	}
 	if request.DryRun {
-		h.difference(w, r, desired)
+		h.answerDryRun(w, r, desired)
 		return
 	}
 	var changes []catalogue.Change
 	edit := func(current revision.State) (revision.State, error) {
 		changes = catalogue.Diff(current.Catalogue, desired)
-		return revision.State{Catalogue: desired, Keys: withoutOrphans(current.Keys, desired)}, nil
+		return revision.State{Catalogue: desired, Keys: withdrawOrphanedKeys(current.Keys, desired)}, nil
 	}
 	op := revision.Operation{ID: request.Operation, Digest: digest(catalogue.Format(desired)), Expected: request.Expected}
 	change, err := h.commit(r.Context(), op, edit)
@@ -52,9 +52,9 @@
 	writeChange(w, change, request.Operation, changes)
 }
 
-// withoutOrphans withdraws the keys of teams that the catalogue lacks, so that
-// a later team of the same name does not inherit them.
-func withoutOrphans(keys keyring.Keyring, desired catalogue.Catalogue) keyring.Keyring {
+// withdrawOrphanedKeys withdraws the keys of teams that are not in the catalogue,
+// so that a later team of the same name does not inherit them.
+func withdrawOrphanedKeys(keys keyring.Keyring, desired catalogue.Catalogue) keyring.Keyring {
 	for _, key := range keys.Keys() {
 		if _, known := desired.Teams[key.Team]; !known && !key.Withdrawn {
 			key.Withdrawn = true
@@ -64,8 +64,8 @@
 	return keys
 }
 
-// difference answers a dry run.
-func (h *Handler) difference(w http.ResponseWriter, r *http.Request, desired catalogue.Catalogue) {
+// answerDryRun writes the changes that applying the catalogue would make.
+func (h *Handler) answerDryRun(w http.ResponseWriter, r *http.Request, desired catalogue.Catalogue) {
 	state, err := revision.Load(r.Context(), h.config.Store)
 	if err != nil {
 		writeError(w, err)
@@ -74,21 +74,21 @@
 	changes := catalogue.Diff(state.Catalogue, desired)
 	writeJSON(w, http.StatusOK, api.ChangeAnswer{
 		Revision:  state.Revision,
-		Changes:   differences(changes),
+		Changes:   apiDifferences(changes),
 		Unchanged: len(changes) == 0,
 	})
 }
 
 func (h *Handler) removeEntry(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	name := params.ByName("name")
-	op, ok := operationOf(w, r, "remove entry "+name)
+	op, ok := parseOperation(w, r, "remove entry "+name)
 	if !ok {
 		return
 	}
 	var changes []catalogue.Change
 	edit := func(current revision.State) (revision.State, error) {
 		if _, known := current.Catalogue.Entries[name]; !known {
-			return current, unknownName("name", name, current.Catalogue.EntryNames())
+			return current, unknownNameProblem("name", name, current.Catalogue.EntryNames())
 		}
 		next := current.Catalogue.Clone()
 		delete(next.Entries, name)
@@ -110,12 +110,12 @@
 		answer.Unchanged = true
 		status = http.StatusOK
 	} else {
-		answer.Changes = differences(changes)
+		answer.Changes = apiDifferences(changes)
 	}
 	writeJSON(w, status, answer)
 }
 
-func differences(changes []catalogue.Change) []api.Difference {
+func apiDifferences(changes []catalogue.Change) []api.Difference {
 	out := make([]api.Difference, 0, len(changes))
 	for _, change := range changes {
 		out = append(out, api.Difference{Op: string(change.Op), Kind: change.Kind, Name: change.Name, Fields: change.Fields})
@@ -123,13 +123,13 @@
 	return out
 }
 
-// digest identifies the content of an operation.
+// digest returns a hash that identifies the content of an operation.
 func digest(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:8])
 }
 
-func unknownName(field, name string, known []string) *api.Problem {
+func unknownNameProblem(field, name string, known []string) *api.Problem {
 	return &api.Problem{
 		Status:  http.StatusNotFound,
 		Title:   fmt.Sprintf("%q is unknown", name),
@@ -140,7 +140,7 @@
 	}
 }
 
-func invalid(problems problem.List) api.Problem {
+func invalidCatalogue(problems problem.List) api.Problem {
 	out := api.Problem{
 		Status:  http.StatusUnprocessableEntity,
 		Title:   "catalogue is invalid",
--- a/internal/operator/hosts.go
+++ b/internal/operator/hosts.go
@@ -22,10 +22,10 @@
 	purpose := pool.Purpose(request.Purpose)
 	switch {
 	case purpose != pool.Move && purpose != pool.Maintenance:
-		writeProblem(w, malformed("purpose", "want move or maintenance"))
+		writeProblem(w, malformedRequest("purpose", "want move or maintenance"))
 		return
 	case purpose == pool.Move && request.Target == "":
-		writeProblem(w, malformed("target", "a move needs the pool that the host serves next"))
+		writeProblem(w, malformedRequest("target", "a move needs the pool that the host serves next"))
 		return
 	}
 	host, err := h.config.Hosts.DrainHost(r.Context(), params.ByName("name"), purpose, request.Target)
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -26,9 +26,9 @@
 	writeJSON(w, http.StatusOK, keys)
 }
 
-// giveKey registers a key by its hash: the secret never reaches a manager, and
-// a repeat after a lost answer finds the key in place.
-func (h *Handler) giveKey(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// registerKey registers a key by its hash, so the secret never reaches a manager.
+// A repeat after a lost answer changes nothing.
+func (h *Handler) registerKey(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var request api.GiveKeyRequest
 	if !readJSON(w, r, &request) {
 		return
@@ -43,10 +43,10 @@
 	}
 	edit := func(current revision.State) (revision.State, error) {
 		if _, known := current.Catalogue.Teams[key.Team]; !known {
-			return current, unknownName("team", key.Team, current.Catalogue.TeamNames())
+			return current, unknownNameProblem("team", key.Team, current.Catalogue.TeamNames())
 		}
-		if old, taken := current.Keys.Get(key.ID); taken {
-			return current, sameKey(old, key)
+		if existing, exists := current.Keys.Get(key.ID); exists {
+			return current, checkSameKey(existing, key)
 		}
 		return revision.State{Catalogue: current.Catalogue, Keys: current.Keys.With(key)}, nil
 	}
@@ -59,9 +59,10 @@
 	writeChange(w, change, request.Operation, nil)
 }
 
-// sameKey refuses an id that another key has.
-func sameKey(old, key keyring.Key) error {
-	if old.Team == key.Team && bytes.Equal(old.Hash, key.Hash) {
+// checkSameKey returns a problem unless both keys are the same: an id can't be
+// registered for a second key.
+func checkSameKey(existing, key keyring.Key) error {
+	if existing.Team == key.Team && bytes.Equal(existing.Hash, key.Hash) {
 		return nil
 	}
 	return &api.Problem{
@@ -70,17 +71,18 @@
 	}
 }
 
-// withdrawKey keeps the key's row, so that it can never come back.
+// withdrawKey marks a key as withdrawn. It keeps the key's row, so that
+// registering the same key again can't make it valid.
 func (h *Handler) withdrawKey(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	id := params.ByName("id")
-	op, ok := operationOf(w, r, "withdraw key "+id)
+	op, ok := parseOperation(w, r, "withdraw key "+id)
 	if !ok {
 		return
 	}
 	edit := func(current revision.State) (revision.State, error) {
 		key, known := current.Keys.Get(id)
 		if !known {
-			return current, unknownName("id", id, nil)
+			return current, unknownNameProblem("id", id, nil)
 		}
 		key.Withdrawn = true
 		return revision.State{Catalogue: current.Catalogue, Keys: current.Keys.With(key)}, nil
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,17 +1,19 @@
-// Package operator serves the operators' HTTP API of a manager.
+// Package operator implements the operators' HTTP API of a manager: the catalogue,
+// API keys, configuration revisions, charges, the roster, hosts and maintenance
+// waves.
 //
 // # Usage
 //
 //	handler := operator.New(operator.Config{
-//		Store:  store,
-//		Author: author,
-//		Fleet:  fleet,
-//		Keys:   func() [][]byte { return keys },
+//		Store:     store,
+//		Committer: committer,
+//		Fleet:     fleet,
+//		Keys:      func() [][]byte { return keys },
 //	})
 //	server := &http.Server{Handler: handler}
 //
-// Every request needs an operator key. A change that is answered with
-// "accepted" is committed; GET /v1/revision tells whether it is in force on
+// Every request must carry an operator key. A change that is answered with
+// "accepted" is committed; GET /v1/revision reports whether it is in force in
 // every process.
 package operator
 
@@ -33,52 +35,56 @@
 )
 
 const (
-	// maxBody bounds a request's body, in bytes.
-	maxBody = 16 << 20
-	// commitTimeout bounds a change, which goes on when its client has gone.
+	// maxBodyBytes bounds the body of a request.
+	maxBodyBytes = 16 << 20
+	// commitTimeout bounds a commit, which continues if the client disconnects.
 	commitTimeout = 10 * time.Second
-	// longestWait bounds GET /v1/revision?wait=.
-	longestWait = time.Minute
-	// waitInterval is the time between looks at who has confirmed.
-	waitInterval = 25 * time.Millisecond
+	// maxRevisionWait bounds the wait parameter of GET /v1/revision.
+	maxRevisionWait = time.Minute
+	// confirmationInterval is the time between two checks of the confirmations
+	// while a request waits for a revision.
+	confirmationInterval = 25 * time.Millisecond
 )
 
-// ErrNotFound is returned by Records for an id that it does not know.
+// ErrNotFound is returned by Records, Hosts and Waves for an unknown id or name.
 var ErrNotFound = errors.New("no such record")
 
-// Author commits changes; see revision.Author.
-type Author interface {
+// Committer commits configuration changes; see revision.Committer.
+type Committer interface {
 	Commit(ctx context.Context, op revision.Operation, edit revision.Edit) (revision.Change, error)
 }
 
-// Fleet reaches the other processes.
+// Fleet gives access to the processes of the roster.
 type Fleet interface {
 	// Push sends a committed change to every process, without waiting.
 	Push(ctx context.Context, change revision.Change)
-	// InForce names the processes of the roster that confirmed the revision or
-	// a newer one, and those that did not.
+	// InForce returns the names of the processes that have confirmed the
+	// revision or a newer one, and of those that have not.
 	InForce(ctx context.Context, revision uint64) (confirmed, missing []string)
-	// Roster returns the processes.
+	// Roster returns the members of the roster.
 	Roster(ctx context.Context) ([]api.Member, error)
 }
 
-// Records reads what is kept of runs.
+// Records gives access to the records of runs.
 type Records interface {
-	// Charge returns ErrNotFound for an unknown id.
+	// Charge returns the charge with the id, or ErrNotFound.
 	Charge(ctx context.Context, id string) (api.Charge, error)
+	// Unproven returns the runs that are not charged, each with the reason.
 	Unproven(ctx context.Context) ([]api.Run, error)
 }
 
-// Hosts drains and returns hosts.
+// Hosts lists hosts, drains them and returns them to service.
 type Hosts interface {
 	Hosts(ctx context.Context) ([]api.Host, error)
 	// DrainHost and ReturnHost return ErrNotFound for a host that the platform
-	// does not list, and *pool.PhaseError for a step that its phase forbids.
+	// does not list, and *pool.PhaseError for a change that the host's phase
+	// does not allow.
 	DrainHost(ctx context.Context, name string, purpose pool.Purpose, target string) (api.Host, error)
 	ReturnHost(ctx context.Context, name string) (api.Host, error)
 }
 
-// Waves runs maintenance waves; unknown pools are ErrNotFound.
+// Waves manages maintenance waves, one for each pool. ResumeWave and StopWave
+// return ErrNotFound for a pool without a wave.
 type Waves interface {
 	Waves(ctx context.Context) ([]api.Wave, error)
 	StartWave(ctx context.Context, request api.WaveRequest) (api.Wave, error)
@@ -86,34 +92,34 @@
 	StopWave(ctx context.Context, pool string) (api.Wave, error)
 }
 
-// Config configures a handler.
+// Config configures a Handler.
 type Config struct {
-	Store   table.Store
-	Author  Author
-	Fleet   Fleet
-	Records Records
-	Hosts   Hosts
-	Waves   Waves
+	Store     table.Store
+	Committer Committer
+	Fleet     Fleet
+	Records   Records
+	Hosts     Hosts
+	Waves     Waves
 	// Keys returns the operator keys in force.
 	Keys func() [][]byte
-	// Dump returns the process's state, without secrets; optional.
+	// Dump returns the process's state without secrets. It is optional.
 	Dump func() any
 }
 
-// Handler is the API as an http.Handler.
+// Handler serves the operators' API.
 type Handler struct {
 	config Config
 	router *httprouter.Router
 }
 
-// New returns a handler.
+// New returns a Handler.
 func New(config Config) *Handler {
 	h := &Handler{config: config, router: httprouter.New()}
 	h.router.GET("/v1/catalogue", h.getCatalogue)
 	h.router.POST("/v1/catalogue", h.applyCatalogue)
 	h.router.DELETE("/v1/entries/:name", h.removeEntry)
 	h.router.GET("/v1/keys", h.listKeys)
-	h.router.POST("/v1/keys", h.giveKey)
+	h.router.POST("/v1/keys", h.registerKey)
 	h.router.DELETE("/v1/keys/:id", h.withdrawKey)
 	h.router.GET("/v1/revision", h.getRevision)
 	h.router.GET("/v1/charges/:id", h.getCharge)
@@ -140,12 +146,13 @@
 		writeProblem(w, *problem)
 		return
 	}
-	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+	r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 	h.router.ServeHTTP(w, r)
 }
 
-// authorize compares digests, so that the time depends neither on a key's
-// length nor on its content.
+// authorize returns a problem if the request carries no valid operator key. It
+// compares digests, so that the time taken reveals neither the length nor the
+// content of a key.
 func (h *Handler) authorize(r *http.Request) *api.Problem {
 	presented, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || presented == "" {
@@ -163,12 +170,12 @@
 	return &api.Problem{Status: http.StatusUnauthorized, Title: "operator key is wrong", Reason: api.ReasonWrongKey, Field: "Authorization", Outcome: api.OutcomeNotRun}
 }
 
-// commit runs a change to its end, whether or not the client stays, and
-// pushes it.
+// commit commits a change and pushes it to the processes of the roster, even if
+// the client disconnects meanwhile.
 func (h *Handler) commit(ctx context.Context, op revision.Operation, edit revision.Edit) (revision.Change, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), commitTimeout)
 	defer cancel()
-	change, err := h.config.Author.Commit(ctx, op, edit)
+	change, err := h.config.Committer.Commit(ctx, op, edit)
 	if err == nil && !change.Empty() {
 		h.config.Fleet.Push(ctx, change)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -24,18 +24,19 @@
 
 const operatorKey = "operators' key of the tests"
 
-// fleet is a roster whose members confirm what is pushed to them.
+// fleet is a roster whose members, except the unreachable one, confirm each
+// pushed change.
 type fleet struct {
-	mu        sync.Mutex
-	confirmed map[string]uint64
-	deaf      string
+	mu          sync.Mutex
+	confirmed   map[string]uint64
+	unreachable string
 }
 
 func (f *fleet) Push(_ context.Context, change revision.Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name := range f.confirmed {
-		if name != f.deaf {
+		if name != f.unreachable {
 			f.confirmed[name] = change.Revision
 		}
 	}
@@ -58,7 +59,7 @@
 	return []api.Member{{Name: "entry-1", Role: "entry"}}, nil
 }
 
-// records knows one charge.
+// records holds a single charge.
 type records struct{}
 
 func (records) Charge(_ context.Context, id string) (api.Charge, error) {
@@ -72,7 +73,7 @@
 	return nil, nil
 }
 
-// setup is two managers on one table.
+// setup is a client of two managers that share a table.
 type setup struct {
 	store  *table.Memory
 	fleet  *fleet
@@ -84,19 +85,19 @@
 	s := &setup{store: table.NewMemory(), fleet: &fleet{confirmed: map[string]uint64{"entry-1": 0, "entry-2": 0}}}
 	config := client.Config{Key: operatorKey, Attempts: 4}
 	for range 2 {
-		author := revision.NewCommitter(revision.CommitterConfig{
+		committer := revision.NewCommitter(revision.CommitterConfig{
 			Store:   s.store,
 			Replica: revision.NewReplica(revision.ReplicaConfig{}),
 			Ready:   func() bool { return true },
 			Guard:   func() []table.Condition { return nil },
 		})
 		server := httptest.NewServer(operator.New(operator.Config{
-			Store:   s.store,
-			Author:  author,
-			Fleet:   s.fleet,
-			Records: records{},
-			Keys:    func() [][]byte { return [][]byte{[]byte("another key"), []byte(operatorKey)} },
-			Dump:    func() any { return map[string]int{"revision": 1} },
+			Store:     s.store,
+			Committer: committer,
+			Fleet:     s.fleet,
+			Records:   records{},
+			Keys:      func() [][]byte { return [][]byte{[]byte("another key"), []byte(operatorKey)} },
+			Dump:      func() any { return map[string]int{"revision": 1} },
 		}))
 		t.Cleanup(server.Close)
 		s.url = server.URL
@@ -122,17 +123,17 @@
 	if got, want := answer.Revision, uint64(1); got != want || len(answer.Changes) != 2 || !answer.Accepted {
 		t.Errorf("apply: got %+v, want two changes at revision %d", answer, want)
 	}
-	if again := must(s.client.Apply(ctx, request))(t); again.Revision != 1 || !again.Unchanged {
-		t.Errorf("repeat: got %+v, want revision 1 unchanged", again)
+	if repeated := must(s.client.Apply(ctx, request))(t); repeated.Revision != 1 || !repeated.Unchanged {
+		t.Errorf("repeat: got %+v, want revision 1 unchanged", repeated)
 	}
-	s.fleet.deaf = "entry-2"
-	key, given, err := s.client.GiveKey(ctx, "acme")
-	if err != nil || given.Revision != 2 {
-		t.Fatalf("give: got %+v, %v, want revision 2", given, err)
+	s.fleet.unreachable = "entry-2"
+	key, issued, err := s.client.GiveKey(ctx, "acme")
+	if err != nil || issued.Revision != 2 {
+		t.Fatalf("issue key: got %+v, %v, want revision 2", issued, err)
 	}
 	state := must(revision.Load(ctx, s.store))(t)
 	if team, ok := state.Keys.Check(key); team != "acme" || !ok {
-		t.Errorf("given key: got %q, %v, want acme", team, ok)
+		t.Errorf("issued key: got %q, %v, want acme", team, ok)
 	}
 	id := must(s.client.Keys(ctx))(t)[0].ID
 	withdrawn := must(s.client.WithdrawKey(ctx, id, ""))(t)
@@ -140,14 +141,14 @@
 	if team, ok := state.Keys.Check(key); ok {
 		t.Errorf("withdrawn key: got %q, want none", team)
 	}
-	where := must(s.client.Revision(ctx, withdrawn.Revision, 50*time.Millisecond))(t)
-	if where.InForce || !slices.Equal(where.Missing, []string{"entry-2"}) || !slices.Equal(where.Confirmed, []string{"entry-1"}) {
-		t.Errorf("in force: got %+v, want entry-2 missing", where)
+	status := must(s.client.Revision(ctx, withdrawn.Revision, 50*time.Millisecond))(t)
+	if status.InForce || !slices.Equal(status.Missing, []string{"entry-2"}) || !slices.Equal(status.Confirmed, []string{"entry-1"}) {
+		t.Errorf("in force: got %+v, want entry-2 missing", status)
 	}
-	s.fleet.deaf = ""
+	s.fleet.unreachable = ""
 	removed := must(s.client.RemoveEntry(ctx, "orders", "", nil))(t)
-	if where := must(s.client.Revision(ctx, removed.Revision, time.Second))(t); !where.InForce {
-		t.Errorf("in force: got %+v, want everywhere", where)
+	if status := must(s.client.Revision(ctx, removed.Revision, time.Second))(t); !status.InForce {
+		t.Errorf("in force: got %+v, want everywhere", status)
 	}
 	if got := must(s.client.Catalogue(ctx))(t); len(got.Catalogue.Entries) != 0 || got.Revision != 4 {
 		t.Errorf("catalogue: got %+v, want no entries at revision 4", got)
@@ -222,8 +223,8 @@
 	}
 }
 
-// The answers to all commits are lost; each change takes effect once.
-func TestLostAnswers(t *testing.T) {
+// If the answers to all commits are lost, each change still takes effect once.
+func TestLostCommitAnswers(t *testing.T) {
 	ctx := context.Background()
 	s := newSetup(t)
 	s.store.SetFaults(table.Faults{LoseAnswers: true})
@@ -298,7 +299,7 @@
 	}
 }
 
-// must returns a function that fails the test on an error.
+// must returns a function that returns the value, or fails the test if err is set.
 func must[T any](value T, err error) func(testing.TB) T {
 	return func(t testing.TB) T {
 		t.Helper()
--- a/internal/operator/reading.go
+++ b/internal/operator/queries.go
@@ -11,17 +11,18 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// getRevision tells where a revision is in force, and waits for it on request.
+// getRevision reports which processes have a revision in force. If the request
+// names no revision, it reports on the newest one.
 func (h *Handler) getRevision(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	wait, ok := durationParameter(w, r, "wait")
+	wait, ok := parseDuration(w, r, "wait")
 	if !ok {
 		return
 	}
-	number, given, ok := revisionParameter(w, r, "revision")
+	number, present, ok := parseRevision(w, r, "revision")
 	if !ok {
 		return
 	}
-	if !given {
+	if !present {
 		head, err := revision.Head(r.Context(), h.config.Store)
 		if err != nil {
 			writeError(w, err)
@@ -29,17 +30,19 @@
 		}
 		number = head
 	}
-	writeJSON(w, http.StatusOK, h.inForce(r, number, wait))
+	writeJSON(w, http.StatusOK, h.awaitInForce(r, number, wait))
 }
 
-func (h *Handler) inForce(r *http.Request, number uint64, wait time.Duration) api.RevisionAnswer {
+// awaitInForce waits until the revision is in force in every process, at most for
+// the given time and maxRevisionWait, and returns the last answer.
+func (h *Handler) awaitInForce(r *http.Request, number uint64, wait time.Duration) api.RevisionAnswer {
 	ctx := r.Context()
-	deadline := time.NewTimer(min(wait, longestWait))
+	deadline := time.NewTimer(min(wait, maxRevisionWait))
 	defer deadline.Stop()
-	ticker := time.NewTicker(waitInterval)
+	ticker := time.NewTicker(confirmationInterval)
 	defer ticker.Stop()
 	for {
-		answer := h.confirmations(r, number)
+		answer := h.revisionAnswer(r, number)
 		if answer.InForce || wait == 0 {
 			return answer
 		}
@@ -47,13 +50,13 @@
 		case <-ctx.Done():
 			return answer
 		case <-deadline.C:
-			return h.confirmations(r, number)
+			return h.revisionAnswer(r, number)
 		case <-ticker.C:
 		}
 	}
 }
 
-func (h *Handler) confirmations(r *http.Request, number uint64) api.RevisionAnswer {
+func (h *Handler) revisionAnswer(r *http.Request, number uint64) api.RevisionAnswer {
 	confirmed, missing := h.config.Fleet.InForce(r.Context(), number)
 	return api.RevisionAnswer{
 		Revision:  number,
@@ -94,37 +97,37 @@
 	writeJSON(w, http.StatusOK, value)
 }
 
-func durationParameter(w http.ResponseWriter, r *http.Request, name string) (time.Duration, bool) {
+func parseDuration(w http.ResponseWriter, r *http.Request, name string) (time.Duration, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, true
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		writeProblem(w, malformed(name, "want a duration such as 2s"))
+		writeProblem(w, malformedRequest(name, "want a duration such as 2s"))
 		return 0, false
 	}
 	return d, true
 }
 
-func revisionParameter(w http.ResponseWriter, r *http.Request, name string) (number uint64, given, ok bool) {
+func parseRevision(w http.ResponseWriter, r *http.Request, name string) (number uint64, present, ok bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, false, true
 	}
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		writeProblem(w, malformed(name, "want a revision, a whole number"))
+		writeProblem(w, malformedRequest(name, "want a revision, a whole number"))
 		return 0, true, false
 	}
 	return number, true, true
 }
 
-// operationOf reads the parameters of a change that has no body.
-func operationOf(w http.ResponseWriter, r *http.Request, content string) (revision.Operation, bool) {
+// parseOperation reads the query parameters of a change request without a body.
+func parseOperation(w http.ResponseWriter, r *http.Request, content string) (revision.Operation, bool) {
 	op := revision.Operation{ID: r.URL.Query().Get("operation-id"), Digest: digest([]byte(content))}
-	expected, given, ok := revisionParameter(w, r, "expected-revision")
-	if given {
+	expected, present, ok := parseRevision(w, r, "expected-revision")
+	if present {
 		op.Expected = &expected
 	}
 	return op, ok
--- a/internal/operator/answer.go
+++ b/internal/operator/response.go
@@ -17,13 +17,13 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// retryAfter is when to ask again after a refusal that passes by itself.
+// retryAfter is the advised delay before a retry after a transient error.
 const retryAfter = api.Duration(time.Second)
 
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // the client has gone
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
 
 func writeProblem(w http.ResponseWriter, p api.Problem) {
@@ -33,27 +33,28 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // the client has gone
+	_ = json.NewEncoder(w).Encode(p) // fails only if the client has disconnected
 }
 
-// writeError turns an error into a problem. "Not run" is said only of errors
-// after which nothing can have been written.
+// writeError writes an error as a problem.
 func writeError(w http.ResponseWriter, err error) {
 	writeProblem(w, problemOf(err))
 }
 
+// problemOf converts an error to a problem. Its outcome is OutcomeNotRun only if
+// nothing can have been written.
 func problemOf(err error) api.Problem {
-	var given *api.Problem
-	var race *revision.StaleRevisionError
+	var apiProblem *api.Problem
+	var stale *revision.StaleRevisionError
 	var reused *revision.ReusedError
 	var phase *pool.PhaseError
 	p := api.Problem{Status: http.StatusServiceUnavailable, Title: err.Error(), Outcome: api.OutcomeNotRun, RetryAfter: retryAfter}
 	switch {
-	case errors.As(err, &given):
-		return *given
-	case errors.As(err, &race):
+	case errors.As(err, &apiProblem):
+		return *apiProblem
+	case errors.As(err, &stale):
 		p.Status, p.Reason, p.Field, p.RetryAfter = http.StatusConflict, api.ReasonRevision, "expected-revision", 0
-		p.Expected, p.Found = race.Expected, race.Found
+		p.Expected, p.Found = stale.Expected, stale.Found
 	case errors.As(err, &reused):
 		p.Status, p.Reason, p.Field, p.RetryAfter = http.StatusConflict, api.ReasonOperationReused, "operation-id", 0
 	case table.IsUnknown(err):
@@ -77,14 +78,15 @@
 	return p
 }
 
-func malformed(field, detail string) api.Problem {
+func malformedRequest(field, detail string) api.Problem {
 	return api.Problem{
 		Status: http.StatusBadRequest, Title: "request is malformed", Detail: detail,
 		Reason: api.ReasonMalformed, Field: field, Outcome: api.OutcomeNotRun,
 	}
 }
 
-// readJSON decodes the body, or answers with a problem that names the field.
+// readJSON decodes the request's body. If it fails, it writes a problem that names
+// the field and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
@@ -105,17 +107,17 @@
 	_, unknown, isUnknown := strings.Cut(err.Error(), "unknown field ")
 	switch {
 	case errors.As(err, &tooLarge):
-		p := malformed("body", err.Error())
+		p := malformedRequest("body", err.Error())
 		p.Status, p.Reason = http.StatusRequestEntityTooLarge, api.ReasonTooLarge
 		return p
 	case errors.As(err, &wrongType):
-		return malformed(wrongType.Field, err.Error())
+		return malformedRequest(wrongType.Field, err.Error())
 	case isUnknown:
-		return malformed(strings.Trim(unknown, `"`), "field is unknown")
+		return malformedRequest(strings.Trim(unknown, `"`), "field is unknown")
 	case errors.Is(err, io.EOF):
-		return malformed("body", "body is empty, want a JSON object")
+		return malformedRequest("body", "body is empty, want a JSON object")
 	}
-	return malformed("body", err.Error())
+	return malformedRequest("body", err.Error())
 }
 
 func notFound(w http.ResponseWriter, r *http.Request) {
--- a/internal/operator/waves.go
+++ b/internal/operator/waves.go
@@ -20,10 +20,10 @@
 	}
 	switch {
 	case request.Pool == "":
-		writeProblem(w, malformed("pool", "want the name of a pool"))
+		writeProblem(w, malformedRequest("pool", "want the name of a pool"))
 		return
 	case request.Need < 0:
-		writeProblem(w, malformed("need", "want the number of hosts that carry the pool's load"))
+		writeProblem(w, malformedRequest("need", "want the number of hosts that carry the pool's load"))
 		return
 	}
 	wave, err := h.config.Waves.StartWave(r.Context(), request)
