--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -1,5 +1,5 @@
-// Package operations serves a process's operations port: its metrics, its
-// health and a dump of its whole state.
+// Package operations implements the operations port of a process: its metrics, its
+// health and readiness checks, and a dump of its state.
 //
 // # Usage
 //
@@ -9,9 +9,9 @@
 //	})
 //	server.Handler = port
 //
-// GET /metrics is in the Prometheus text format, /healthz answers 200 while
-// the process runs, /readyz 200 or 503 with the reason, /dump JSON without
-// secrets.
+// GET /metrics returns the metrics in the Prometheus text format. /healthz returns
+// 200 while the process runs. /readyz returns 200, or 503 with the reason why the
+// process is not ready. /dump returns the state as JSON, without secrets.
 package operations
 
 import (
@@ -22,21 +22,22 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Config connects the port to the process.
+// Config configures a Port.
 type Config struct {
-	// Ready returns nil when the process takes work, or the reason why not.
+	// Ready returns nil if the process accepts work, or an error that says why
+	// not.
 	Ready func() error
-	// Dump returns the state, which is encoded as JSON.
+	// Dump returns the state without secrets, to be encoded as JSON.
 	Dump func() any
 }
 
-// Port is the handler of the operations port.
+// Port handles the requests of the operations port.
 type Port struct {
 	config Config
 	router *httprouter.Router
 }
 
-// New returns the port's handler.
+// New returns a Port.
 func New(config Config) *Port {
 	port := &Port{config: config, router: httprouter.New()}
 	port.router.GET("/metrics", port.metrics)
@@ -51,18 +52,18 @@
 	p.router.ServeHTTP(w, r)
 }
 
-// metrics answers in the Prometheus text format.
+// metrics writes the metrics in the Prometheus text format.
 func (p *Port) metrics(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	metrics.WritePrometheus(w, true)
 }
 
-// healthz answers while the process runs.
+// healthz reports that the process runs.
 func (p *Port) healthz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// readyz tells the balancer whether to send work here.
+// readyz reports to the load balancer whether to send requests to this process.
 func (p *Port) readyz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if err := p.config.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -71,7 +72,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// dump writes the process's state.
+// dump writes the process's state as JSON.
 func (p *Port) dump(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
