--- a/internal/peer/charges.go
+++ b/internal/peer/charges.go
@@ -8,11 +8,11 @@
 	"github.com/lovagedyke/lovagedyke/internal/charge"
 )
 
-// ChargeMessages encodes charges and unproven runs.
-func ChargeMessages(entries []charge.Record) ([][]byte, error) {
-	encoded := make([][]byte, len(entries))
-	for i, entry := range entries {
-		value, err := json.Marshal(entry)
+// ChargeMessages encodes the records of charges and unproven runs.
+func ChargeMessages(records []charge.Record) ([][]byte, error) {
+	encoded := make([][]byte, len(records))
+	for i, record := range records {
+		value, err := json.Marshal(record)
 		if err != nil {
 			return nil, errors.Wrap(err, "encode charge")
 		}
@@ -21,13 +21,13 @@
 	return encoded, nil
 }
 
-// Charges decodes charges and unproven runs.
+// Charges decodes the records of charges and unproven runs.
 func Charges(encoded [][]byte) ([]charge.Record, error) {
-	entries := make([]charge.Record, len(encoded))
+	records := make([]charge.Record, len(encoded))
 	for i, value := range encoded {
-		if err := json.Unmarshal(value, &entries[i]); err != nil {
+		if err := json.Unmarshal(value, &records[i]); err != nil {
 			return nil, errors.Wrap(err, "decode charge")
 		}
 	}
-	return entries, nil
+	return records, nil
 }
--- a/internal/peer/claims.go
+++ b/internal/peer/claims.go
@@ -23,31 +23,31 @@
 	return roster.Identity{Name: m.GetName(), Incarnation: m.GetIncarnation()}
 }
 
-// TokenMessage encodes the name of an attempt.
+// TokenMessage encodes the token of an attempt.
 func TokenMessage(t claim.Token) *peerpb.Token {
 	return &peerpb.Token{
 		Claimant: IdentityMessage(t.Claimant), Home: IdentityMessage(t.Primary), Sequence: t.Sequence,
 	}
 }
 
-// Token decodes the name of an attempt.
+// Token decodes the token of an attempt.
 func Token(m *peerpb.Token) claim.Token {
 	return claim.Token{
 		Claimant: Identity(m.GetClaimant()), Primary: Identity(m.GetHome()), Sequence: m.GetSequence(),
 	}
 }
 
-// ClaimIDMessage encodes what a caller repeats.
+// ClaimIDMessage encodes the ID of an idempotent request.
 func ClaimIDMessage(id claim.ID) *peerpb.ClaimId {
 	return &peerpb.ClaimId{Team: id.Team, Service: id.Service, Key: id.Key}
 }
 
-// ClaimID decodes what a caller repeats.
+// ClaimID decodes the ID of an idempotent request.
 func ClaimID(m *peerpb.ClaimId) claim.ID {
 	return claim.ID{Team: m.GetTeam(), Service: m.GetService(), Key: m.GetKey()}
 }
 
-// ClaimMessage encodes a request for the right to dispatch.
+// ClaimMessage encodes a claim request.
 func ClaimMessage(r claim.Request) *peerpb.ClaimRequest {
 	return &peerpb.ClaimRequest{
 		Id: ClaimIDMessage(r.ID), Digest: r.Digest, Token: TokenMessage(r.Token),
@@ -55,7 +55,7 @@
 	}
 }
 
-// Claim decodes a request for the right to dispatch.
+// Claim decodes a claim request.
 func Claim(m *peerpb.ClaimRequest) claim.Request {
 	return claim.Request{
 		ID: ClaimID(m.GetId()), Digest: m.GetDigest(), Token: Token(m.GetToken()),
@@ -63,7 +63,7 @@
 	}
 }
 
-// AnswerMessage encodes the home's answer to a claimant.
+// AnswerMessage encodes the primary's answer to a claimant.
 func AnswerMessage(a claim.Answer) (*peerpb.ClaimReply, error) {
 	record, err := json.Marshal(a.Record)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return reply, nil
 }
 
-// Answer decodes the home's answer to the claimant of the token.
+// Answer decodes the primary's answer to the claim request with the token.
 func Answer(token claim.Token, m *peerpb.ClaimReply) (claim.Answer, error) {
 	record, err := Record(m.GetRecord())
 	if err != nil {
@@ -95,20 +95,20 @@
 	}, nil
 }
 
-// RecordMessage encodes a claim as in its table row.
+// RecordMessage encodes a claim record in the format of its table row.
 func RecordMessage(record claim.Record) ([]byte, error) {
 	encoded, err := json.Marshal(record)
 	return encoded, errors.Wrap(err, "encode claim record")
 }
 
-// Record decodes a claim.
+// Record decodes a claim record.
 func Record(encoded []byte) (claim.Record, error) {
 	var record claim.Record
 	err := json.Unmarshal(encoded, &record)
 	return record, errors.Wrap(err, "decode claim record")
 }
 
-// ResultMessage encodes a recorded answer.
+// ResultMessage encodes the recorded answer of a run, which may be nil.
 func ResultMessage(r *claim.Result) *peerpb.Result {
 	if r == nil {
 		return nil
@@ -120,7 +120,7 @@
 	return m
 }
 
-// Result decodes a recorded answer.
+// Result decodes the recorded answer of a run, which may be nil.
 func Result(m *peerpb.Result) *claim.Result {
 	if m == nil {
 		return nil
--- a/internal/peer/configuration.go
+++ b/internal/peer/configuration.go
@@ -8,8 +8,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// StatementMessage encodes what a process knows of the newest configuration;
-// inForce is the revision of its copy.
+// StatementMessage encodes a process's statement about the newest configuration
+// revision; inForce is the revision that the process applies.
 func StatementMessage(s revision.Statement, inForce uint64) *peerpb.Statement {
 	m := &peerpb.Statement{
 		Revision: s.Revision, InForce: inForce, Unsettled: s.Unresolved, Final: s.Final,
@@ -21,7 +21,7 @@
 	return m
 }
 
-// Statement decodes what the sender knows of the newest configuration.
+// Statement decodes the sender's statement about the newest configuration revision.
 func Statement(from *peerpb.Identity, m *peerpb.Statement) revision.Statement {
 	s := revision.Statement{
 		From:     revision.Member{Name: from.GetName(), Incarnation: from.GetIncarnation()},
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -13,8 +13,9 @@
 	"github.com/lovagedyke/lovagedyke/internal/peer/peerpb"
 )
 
-// again decodes what encode writes and returns both writings as JSON.
-func again[V any](t *testing.T, value V, encode func(V) ([]byte, error), decode func([]byte) (V, error)) (first, second []byte) {
+// encodeTwice encodes value, decodes the result and encodes it again. It returns
+// both encodings.
+func encodeTwice[V any](t *testing.T, value V, encode func(V) ([]byte, error), decode func([]byte) (V, error)) (first, second []byte) {
 	t.Helper()
 	first, err := encode(value)
 	if err != nil {
@@ -40,7 +41,7 @@
 		if err != nil {
 			return
 		}
-		if got, want := again(t, record, peer.RecordMessage, peer.Record); !bytes.Equal(got, want) {
+		if got, want := encodeTwice(t, record, peer.RecordMessage, peer.Record); !bytes.Equal(got, want) {
 			t.Errorf("got %s, want %s", got, want)
 		}
 	})
@@ -65,8 +66,8 @@
 	})
 }
 
-// A ledger takes any request to freeze without breaking an invariant: what it
-// reports is never negative and never more than the row allows.
+// FuzzFreeze checks that a ledger handles any decoded freeze request: it never
+// reports a negative number of permits.
 func FuzzFreeze(f *testing.F) {
 	for _, row := range []string{
 		``, `{}`, `{"team":"t","generation":2,"limit":5,"granted":{"a/1":3,"b/1":2}}`, `{"team":"t","generation":1,"limit":5,"granted":{"a/1":-3}}`,
--- a/internal/peer/limits.go
+++ b/internal/peer/limits.go
@@ -25,23 +25,23 @@
 	}
 }
 
-// AskMessage encodes a request for permits.
-func AskMessage(a limit.TransferRequest) *peerpb.AskRequest {
+// TransferRequestMessage encodes a request for a transfer of permits.
+func TransferRequestMessage(r limit.TransferRequest) *peerpb.AskRequest {
 	return &peerpb.AskRequest{
-		Team: a.Team, Generation: a.Generation,
-		From: string(a.From), To: string(a.To), Want: int32(a.Want), Holding: int32(a.Holding),
+		Team: r.Team, Generation: r.Generation,
+		From: string(r.From), To: string(r.To), Want: int32(r.Want), Holding: int32(r.Holding),
 	}
 }
 
-// Ask decodes a request for permits.
-func Ask(m *peerpb.AskRequest) limit.TransferRequest {
+// TransferRequest decodes a request for a transfer of permits.
+func TransferRequest(m *peerpb.AskRequest) limit.TransferRequest {
 	return limit.TransferRequest{
 		Team: m.GetTeam(), Generation: m.GetGeneration(),
 		From: limit.Member(m.GetFrom()), To: limit.Member(m.GetTo()), Want: int(m.GetWant()), Holding: int(m.GetHolding()),
 	}
 }
 
-// PermitsMessage encodes what a member tells its peers of one team.
+// PermitsMessage encodes a member's status of one team's permits.
 func PermitsMessage(s limit.Status) *peerpb.Permits {
 	return &peerpb.Permits{
 		Team: s.Team, Generation: s.Generation,
@@ -49,7 +49,7 @@
 	}
 }
 
-// Permits decodes what a peer tells of one team.
+// Permits decodes a peer's status of one team's permits.
 func Permits(m *peerpb.Permits) limit.Status {
 	return limit.Status{
 		Team: m.GetTeam(), Generation: m.GetGeneration(),
@@ -62,7 +62,7 @@
 	return &peerpb.Report{
 		Team: r.Team, Generation: r.Generation, Member: string(r.Member),
 		Holding: int64(r.Holding), InUse: int64(r.InUse),
-		Sent: totalsMessage(r.Sent), Received: totalsMessage(r.Received),
+		Sent: encodeTotals(r.Sent), Received: encodeTotals(r.Received),
 	}
 }
 
@@ -71,11 +71,11 @@
 	return limit.Report{
 		Team: m.GetTeam(), Generation: m.GetGeneration(), Member: limit.Member(m.GetMember()),
 		Holding: int(m.GetHolding()), InUse: int(m.GetInUse()),
-		Sent: totals(m.GetSent()), Received: totals(m.GetReceived()),
+		Sent: decodeTotals(m.GetSent()), Received: decodeTotals(m.GetReceived()),
 	}
 }
 
-// FreezeMessage encodes a request to end a generation's trade.
+// FreezeMessage encodes a request to freeze a generation's transfers.
 func FreezeMessage(f limit.FreezeRequest) (*peerpb.FreezeRequest, error) {
 	row, err := json.Marshal(f.Row)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return &peerpb.FreezeRequest{To: string(f.To), Row: row, Mode: string(f.Mode), Keep: int64(f.Keep)}, nil
 }
 
-// Freeze decodes a request to end a generation's trade.
+// Freeze decodes a request to freeze a generation's transfers.
 func Freeze(m *peerpb.FreezeRequest) (limit.FreezeRequest, error) {
 	row, err := limit.ParseAllocation(m.GetRow())
 	if err != nil {
@@ -96,8 +96,8 @@
 	}, nil
 }
 
-// totalsMessage encodes totals by member.
-func totalsMessage(totals map[limit.Member]int) map[string]int64 {
+// encodeTotals encodes the totals of permits transferred, keyed by member.
+func encodeTotals(totals map[limit.Member]int) map[string]int64 {
 	encoded := make(map[string]int64, len(totals))
 	for member, total := range totals {
 		encoded[string(member)] = int64(total)
@@ -105,8 +105,8 @@
 	return encoded
 }
 
-// totals decodes totals by member.
-func totals(encoded map[string]int64) map[limit.Member]int {
+// decodeTotals decodes the totals of permits transferred, keyed by member.
+func decodeTotals(encoded map[string]int64) map[limit.Member]int {
 	decoded := make(map[limit.Member]int, len(encoded))
 	for member, total := range encoded {
 		decoded[limit.Member(member)] = int(total)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
-// Package peer connects the system's own processes: twirp over HTTP, with
-// certificates where the settings name them and a shared secret in any case.
+// Package peer connects the processes of a deployment by Twirp calls over HTTP,
+// and converts between the messages and the types of other packages. Each call
+// carries the deployment's shared secret; TLS certificates are optional.
 //
 // # Usage
 //
@@ -27,20 +28,22 @@
 // secretHeader carries the shared secret of the deployment.
 const secretHeader = "Lovagedyke-Peer-Secret"
 
-// maxMessage bounds one peer message, in bytes.
-const maxMessage = 8 << 20
+// maxMessageBytes bounds the body of a peer call.
+const maxMessageBytes = 8 << 20
 
-// Config says how to reach peers.
+// Config configures a Dialer.
 type Config struct {
-	// Secret is the same in all processes of a deployment.
+	// Secret is the shared secret of the deployment.
 	Secret string
-	// TLS is nil on loopback without certificates.
+	// TLS is the client's TLS configuration. If it is nil, calls use plain HTTP,
+	// which is meant for loopback only.
 	TLS *tls.Config
 	// Timeout bounds one call.
 	Timeout time.Duration
 }
 
-// Dialer keeps one client for each address.
+// Dialer creates clients for peers and keeps one for each address. It is safe for
+// concurrent use.
 type Dialer struct {
 	config  Config
 	client  *http.Client
@@ -48,7 +51,7 @@
 	clients map[netip.AddrPort]peerpb.Peer
 }
 
-// New returns a dialer without connections.
+// New returns a Dialer without connections.
 func New(config Config) *Dialer {
 	transport := &http.Transport{
 		TLSClientConfig:     config.TLS,
@@ -57,12 +60,12 @@
 	}
 	return &Dialer{
 		config:  config,
-		client:  &http.Client{Transport: &authorised{secret: config.Secret, next: transport}, Timeout: config.Timeout},
+		client:  &http.Client{Transport: &secretTransport{secret: config.Secret, next: transport}, Timeout: config.Timeout},
 		clients: make(map[netip.AddrPort]peerpb.Peer),
 	}
 }
 
-// Dial returns the client for the address; it connects at the first call.
+// Dial returns the client for the address. It connects on the first call.
 func (d *Dialer) Dial(address netip.AddrPort) peerpb.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,26 +81,27 @@
 	return client
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (d *Dialer) Close() {
 	d.client.CloseIdleConnections()
 }
 
-// authorised adds the shared secret to each call.
-type authorised struct {
+// secretTransport adds the shared secret to each call.
+type secretTransport struct {
 	secret string
 	next   http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (a *authorised) RoundTrip(request *http.Request) (*http.Response, error) {
+func (a *secretTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	request = request.Clone(request.Context())
 	request.Header.Set(secretHeader, a.secret)
 	return a.next.RoundTrip(request)
 }
 
-// Handler serves the peer port; it refuses calls without the shared secret.
-// Without a secret the port must ask for certificates.
+// Handler returns the handler of the peer port. It rejects calls without the shared
+// secret. If secret is empty, it accepts all calls, so the port's TLS configuration
+// must require client certificates.
 func Handler(secret string, service peerpb.Peer) http.Handler {
 	server := peerpb.NewPeerServer(service)
 	want := sha256.Sum256([]byte(secret))
@@ -107,7 +111,7 @@
 			_ = twirp.WriteError(w, twirp.NewError(twirp.Unauthenticated, "peer secret does not match"))
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxMessage)
+		r.Body = http.MaxBytesReader(w, r.Body, maxMessageBytes)
 		server.ServeHTTP(w, r)
 	})
 }
