--- a/internal/worker/api.go
+++ b/internal/worker/api.go
@@ -6,8 +6,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/duration"
 )
 
-// Paths of a worker's HTTP interface; a task's own paths are TasksPath/<id> and
-// TasksPath/<id>/<action>.
+// Paths and actions of a worker's HTTP interface. The paths of a task are
+// TasksPath/<id> and TasksPath/<id>/<action>.
 const (
 	TasksPath        = "/tasks"
 	RenewPath        = "/renew"
@@ -17,10 +17,10 @@
 	ThrottleAction   = "throttle"
 )
 
-// State is where a start stands at its worker.
+// State is the state of a start at its worker.
 type State string
 
-// States of a start. All but Running have ended for good.
+// States of a start. All but Running are final.
 const (
 	Running      State = "running"
 	Done         State = "done"
@@ -30,27 +30,29 @@
 	Lapsed       State = "lapsed"
 )
 
-// Ended reports whether nothing of the start runs any more, or ever will.
+// Ended reports whether the start no longer runs and never will again.
 func (s State) Ended() bool {
 	return s != Running
 }
 
-// Resources are processors, bytes of memory and accelerators.
+// Resources is a number of processors, of bytes of memory and of accelerators.
 type Resources struct {
 	CPUs         float64 `json:"cpus"`
 	Memory       int64   `json:"memory"`
 	Accelerators int     `json:"accelerators,omitempty"`
 }
 
-// Start asks a worker to run a task. A worker runs an id at most once.
+// Start is a request to run a task. A worker runs a task of a given id at most
+// once.
 type Start struct {
 	ID    string `json:"id"`
 	Task  string `json:"task,omitempty"`
 	Queue string `json:"queue"`
 	Team  string `json:"team"`
-	// Shard is the scope of the epoch; the queue if empty.
+	// Shard is the scope of the epoch. The default is Queue.
 	Shard string `json:"shard,omitempty"`
-	// Incarnation, if set, is the only process of the worker that may take it.
+	// Incarnation, if set, is the only incarnation of the worker that may accept
+	// the start.
 	Incarnation string        `json:"incarnation,omitempty"`
 	Lease       duration.Text `json:"lease"`
 	Epoch       uint64        `json:"epoch"`
@@ -68,7 +70,7 @@
 	Rate  float64       `json:"rate,omitempty"`
 }
 
-// Renewal extends the leases of the named running tasks, in one call.
+// Renewal renews the leases of several running tasks in one call.
 type Renewal struct {
 	Shard string        `json:"shard"`
 	Epoch uint64        `json:"epoch"`
@@ -76,14 +78,15 @@
 	IDs   []string      `json:"ids"`
 }
 
-// Renewed answers a Renewal: the present status of each task that is known.
-type Renewed struct {
+// RenewalReport is the answer to a Renewal: the current status of each task that
+// the worker knows.
+type RenewalReport struct {
 	Incarnation string   `json:"incarnation"`
 	Tasks       []Status `json:"tasks"`
 }
 
-// Status is the state of one start. Ran is false for a start that was stopped
-// before it arrived: it never ran and never will.
+// Status is the status of one start. Ran is false if the start was stopped before
+// it arrived, so that it has never run and never will.
 type Status struct {
 	ID          string        `json:"id"`
 	Incarnation string        `json:"incarnation"`
@@ -97,7 +100,7 @@
 	Usage       Resources     `json:"usage"`
 }
 
-// Report is a worker's lagging account of its tasks and their usage.
+// Report is a worker's report on its tasks and their usage. It may be out of date.
 type Report struct {
 	Worker      string    `json:"worker"`
 	Incarnation string    `json:"incarnation"`
@@ -111,7 +114,8 @@
 	Reason string `json:"reason"`
 }
 
-// ReasonOutOfMemory is the reason of a start that failed for want of memory.
+// ReasonOutOfMemory is the reason in the Status of a task that failed because it
+// ran out of memory.
 const ReasonOutOfMemory = "out-of-memory"
 
 // Reasons of a Refusal.
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,5 +1,5 @@
-// Package worker is the adapter to the platform's workers, which run tasks
-// under leases.
+// Package worker is the client of the platform's workers, which run tasks under
+// leases.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //	defer client.Close()
 //	status, err := client.Start(ctx, address, worker.Start{ID: "orders/7.1", Queue: "orders", Lease: duration.New(30 * time.Second), Epoch: 4})
 //	if errors.Is(err, worker.ErrUnknown) {
-//		// The start may still arrive: Stop settles it, for a worker refuses a
-//		// start that was stopped before.
+//		// The start may still arrive. Stop resolves this: a worker refuses a
+//		// start whose id was stopped before.
 //		status, err = client.Stop(ctx, address, "orders/7.1", worker.Order{Shard: "orders", Epoch: 4})
 //	}
 package worker
@@ -30,20 +30,22 @@
 var (
 	// ErrUnreachable means that the worker did not receive the call.
 	ErrUnreachable = errors.New("worker is unreachable")
-	// ErrUnknown means that the call may have taken effect, now or later.
+	// ErrUnknown means that the call may have taken effect, or may still do so.
 	ErrUnknown = errors.New("worker's answer was lost")
-	// ErrStale means that the worker has heard from a later epoch.
+	// ErrStale means that the worker has accepted a call of a later epoch.
 	ErrStale = errors.New("epoch is stale")
-	// ErrOtherIncarnation means that another process answers at the address.
+	// ErrOtherIncarnation means that the worker at the address is not the
+	// incarnation that the start names.
 	ErrOtherIncarnation = errors.New("worker has restarted")
 	// ErrRefused means that the worker will not run the task.
 	ErrRefused = errors.New("worker refused the task")
-	// ErrNoTask means that the worker has not heard of the task.
+	// ErrNoTask means that the worker has never received the task.
 	ErrNoTask = errors.New("worker does not know the task")
 )
 
-// Config bounds the calls.
+// Config configures a Client.
 type Config struct {
+	// Timeout bounds one call. The default is call.DefaultTimeout.
 	Timeout time.Duration
 }
 
@@ -52,71 +54,73 @@
 	caller *call.Caller
 }
 
-// New returns a client that connects on its first call.
+// New returns a Client that connects on its first call.
 func New(cfg Config) *Client {
 	return &Client{caller: call.New(call.Config{Timeout: cfg.Timeout})}
 }
 
-// Close drops the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.caller.Close()
 }
 
-// Start asks the worker to run the task; a repeat returns the present status.
+// Start asks the worker to run the task. If the worker already has a task with the
+// id, it returns that task's status.
 func (c *Client) Start(ctx context.Context, address netip.AddrPort, start Start) (Status, error) {
-	return c.status(ctx, http.MethodPost, address, TasksPath, start)
+	return c.requestStatus(ctx, http.MethodPost, address, TasksPath, start)
 }
 
-// Status returns the status of a start.
+// Status returns the status of a task.
 func (c *Client) Status(ctx context.Context, address netip.AddrPort, id string) (Status, error) {
-	return c.status(ctx, http.MethodGet, address, taskPath(id), nil)
+	return c.requestStatus(ctx, http.MethodGet, address, taskPath(id), nil)
 }
 
-// Renew extends the lease of a running task from now by order.Lease.
+// Renew renews the lease of a running task; it ends order.Lease from now.
 func (c *Client) Renew(ctx context.Context, address netip.AddrPort, id string, order Order) (Status, error) {
-	return c.order(ctx, address, id, RenewAction, order)
+	return c.postAction(ctx, address, id, RenewAction, order)
 }
 
-// RenewAll extends the leases of many tasks and returns their statuses.
-func (c *Client) RenewAll(ctx context.Context, address netip.AddrPort, renewal Renewal) (Renewed, error) {
-	var renewed Renewed
-	err := c.do(ctx, http.MethodPost, address, RenewPath, renewal, &renewed)
-	return renewed, err
+// RenewAll renews the leases of several tasks and returns their statuses.
+func (c *Client) RenewAll(ctx context.Context, address netip.AddrPort, renewal Renewal) (RenewalReport, error) {
+	var report RenewalReport
+	err := c.do(ctx, http.MethodPost, address, RenewPath, renewal, &report)
+	return report, err
 }
 
-// Stop ends the task, or keeps it from ever starting if it has not arrived.
+// Stop stops the task. If its start has not arrived yet, the task will never run.
 func (c *Client) Stop(ctx context.Context, address netip.AddrPort, id string, order Order) (Status, error) {
-	return c.order(ctx, address, id, StopAction, order)
+	return c.postAction(ctx, address, id, StopAction, order)
 }
 
-// Checkpoint ends the task and returns what a later start resumes from.
+// Checkpoint stops the task and returns a checkpoint from which a later start can
+// resume.
 func (c *Client) Checkpoint(ctx context.Context, address netip.AddrPort, id string, order Order) (Status, error) {
-	return c.order(ctx, address, id, CheckpointAction, order)
+	return c.postAction(ctx, address, id, CheckpointAction, order)
 }
 
-// Throttle runs the task at order.Rate of its speed; 1 is full speed.
+// Throttle sets the speed of the task to order.Rate, where 1 is full speed.
 func (c *Client) Throttle(ctx context.Context, address netip.AddrPort, id string, order Order) (Status, error) {
-	return c.order(ctx, address, id, ThrottleAction, order)
+	return c.postAction(ctx, address, id, ThrottleAction, order)
 }
 
-// Report returns the worker's lagging account of its tasks.
+// Report returns the worker's report on its tasks, which may be out of date.
 func (c *Client) Report(ctx context.Context, address netip.AddrPort) (Report, error) {
 	var report Report
 	err := c.do(ctx, http.MethodGet, address, TasksPath, nil, &report)
 	return report, err
 }
 
-func (c *Client) order(ctx context.Context, address netip.AddrPort, id, action string, order Order) (Status, error) {
-	return c.status(ctx, http.MethodPost, address, taskPath(id)+"/"+action, order)
+func (c *Client) postAction(ctx context.Context, address netip.AddrPort, id, action string, order Order) (Status, error) {
+	return c.requestStatus(ctx, http.MethodPost, address, taskPath(id)+"/"+action, order)
 }
 
-func (c *Client) status(ctx context.Context, method string, address netip.AddrPort, path string, request any) (Status, error) {
+func (c *Client) requestStatus(ctx context.Context, method string, address netip.AddrPort, path string, request any) (Status, error) {
 	var status Status
 	err := c.do(ctx, method, address, path, request, &status)
 	return status, err
 }
 
-// do makes one call and decodes its answer.
+// do makes one call and decodes its answer into into.
 func (c *Client) do(ctx context.Context, method string, address netip.AddrPort, path string, request, into any) error {
 	var body []byte
 	if request != nil {
@@ -133,7 +137,7 @@
 	case err != nil:
 		return errors.Wrapf(ErrUnknown, "%s %s: %v", address, path, err)
 	case answer.Status != http.StatusOK:
-		return errors.Wrapf(refusal(answer), "%s %s: status %d", address, path, answer.Status)
+		return errors.Wrapf(refusalError(answer), "%s %s: status %d", address, path, answer.Status)
 	}
 	if err := json.Unmarshal(answer.Body, into); err != nil {
 		return errors.Wrapf(ErrUnknown, "%s %s: broken answer: %v", address, path, err)
@@ -141,10 +145,10 @@
 	return nil
 }
 
-// refusal maps an answer without a status to an error.
-func refusal(answer call.Answer) error {
+// refusalError returns the error for an answer that refuses a call.
+func refusalError(answer call.Answer) error {
 	var body Refusal
-	// An answer without a known reason says nothing about the effect.
+	// Without a known reason, the call may have taken effect.
 	_ = json.Unmarshal(answer.Body, &body)
 	switch body.Reason {
 	case ReasonStaleEpoch:
@@ -160,7 +164,7 @@
 	}
 }
 
-// taskPath escapes the id whole, so that a slash in it stays part of it.
+// taskPath returns the path of a task. It escapes slashes in the id.
 func taskPath(id string) string {
 	return TasksPath + "/" + url.PathEscape(id)
 }
