--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,5 +1,5 @@
-// Package call makes HTTP calls whose failures tell whether the request may
-// have been received.
+// Package call makes HTTP calls and reports, for a failed call, whether the server
+// may have received the request.
 //
 // # Usage
 //
@@ -23,10 +23,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNotSent marks a call that failed before a connection carried it.
+// ErrNotSent marks the error of a call that failed before it got a connection.
 var ErrNotSent = errors.New("request was not sent")
 
-// DefaultTimeout bounds a call whose configuration names no timeout.
+// DefaultTimeout is the default of Config.Timeout.
 const DefaultTimeout = 2 * time.Second
 
 const (
@@ -35,26 +35,28 @@
 	idleConnTimeout = 30 * time.Second
 )
 
-// Config bounds the calls and names the headers that each carries.
+// Config configures a Caller.
 type Config struct {
+	// Timeout bounds one call, including the reading of its answer.
 	Timeout time.Duration
-	Header  http.Header
+	// Header is added to each request.
+	Header http.Header
 }
 
-// Answer is an answer with its whole body.
+// Answer is the answer to a call.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// Caller makes calls over kept connections. It is safe for concurrent use.
+// Caller makes calls over persistent connections. It is safe for concurrent use.
 type Caller struct {
 	timeout time.Duration
 	header  http.Header
 	client  *http.Client
 }
 
-// New returns a caller that connects on its first call.
+// New returns a Caller that connects on its first call.
 func New(cfg Config) *Caller {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = DefaultTimeout
@@ -67,14 +69,14 @@
 	return &Caller{timeout: cfg.Timeout, header: cfg.Header, client: &http.Client{Transport: transport}}
 }
 
-// Close drops the idle connections.
+// Close closes idle connections.
 func (c *Caller) Close() {
 	c.client.CloseIdleConnections()
 }
 
-// Do makes one request and reads its whole answer. An error marked ErrNotSent
-// means that no connection carried the request. A cut body is an error that
-// comes with the answer's status.
+// Do makes one request and reads the whole answer. An error marked ErrNotSent means
+// that the request was not sent. If the body is cut off, Do returns an error and
+// the answer's status.
 func (c *Caller) Do(ctx context.Context, method, url string, body []byte) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
