--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,9 +1,9 @@
-// Package problem collects the mistakes found in files and requests.
+// Package problem collects the problems found in files and requests.
 //
 // # Usage
 //
-// Checks add every mistake to a List instead of stopping at the first, and the
-// caller turns the list into one error at the end:
+// Checks add every problem to a List instead of stopping at the first. The caller
+// returns the list as one error at the end:
 //
 //	var found problem.List
 //	found.Add(problem.Problem{File: "catalogue.ini", Line: 3, Field: "limit", Message: "is negative", Want: "0 or more"})
@@ -16,7 +16,8 @@
 	"strings"
 )
 
-// Problem is one mistake. File and Line are empty for input that is no file.
+// Problem describes one invalid value. File and Line are empty if the input is not
+// a file.
 type Problem struct {
 	File    string `json:"file,omitempty"`
 	Line    int    `json:"line,omitempty"`
@@ -71,7 +72,7 @@
 	return l
 }
 
-// Error implements error: one line a problem.
+// Error implements error. It returns one line for each problem.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, p := range l {
@@ -80,8 +81,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unknown returns the expectation for a name that is not among the known ones:
-// the nearest of them, or all when none is near.
+// Unknown returns the Want text for an unknown name: the nearest known name, or all
+// known names if none is near.
 func Unknown(name string, known []string) string {
 	if nearest, ok := Nearest(name, known); ok {
 		return fmt.Sprintf("%q", nearest)
@@ -93,8 +94,8 @@
 	return "one of " + strings.Join(sorted, ", ")
 }
 
-// Nearest returns the known name with the smallest edit distance to name, when
-// at most half of the name would have to change.
+// Nearest returns the known name with the smallest edit distance to name. It
+// returns false if more than half of the name's bytes would have to change.
 func Nearest(name string, known []string) (string, bool) {
 	best, bestDistance := "", len(name)/2+1
 	for _, candidate := range slices.Sorted(slices.Values(known)) {
@@ -105,7 +106,7 @@
 	return best, best != ""
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
