--- a/internal/manager/members.go
+++ b/internal/manager/members.go
@@ -90,8 +90,8 @@
 	return acks, nil
 }
 
-// removeDepartedMember removes the member if there is evidence that its process
-// has ended: hostGone, or the acknowledgement that completes its handover.
+// removeDepartedMember removes the member if there is evidence that it will not
+// act again: its host is gone, or it has handed over all its claims.
 func (m *Manager) removeDepartedMember(ctx context.Context, member roster.Member, members roster.Roster, acks roster.Acks, gone bool) error {
 	evidence := roster.EvidenceHostGone
 	switch {
