--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -14,10 +14,10 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// freezeTimeout bounds one request to end a generation's trade.
+// freezeTimeout bounds one request to freeze a generation's transfers.
 const freezeTimeout = time.Second
 
-// limitLoop keeps every team's permits divided.
+// limitLoop divides the permits of each team among the members.
 func (m *Manager) limitLoop(ctx context.Context) {
 	planner := limit.NewPlanner(limit.PlannerConfig{ReportTimeout: reportTimeout})
 	ticker := time.NewTicker(limitInterval)
@@ -32,14 +32,14 @@
 		case <-m.wake:
 		case <-ticker.C:
 		}
-		if err := m.divide(ctx, planner); err != nil && ctx.Err() == nil {
-			m.config.Log.Debug("permits not divided", "reason", err.Error())
+		if err := m.planPermits(ctx, planner); err != nil && ctx.Err() == nil {
+			m.config.Log.Debug("could not divide the teams' permits", "reason", err.Error())
 		}
 	}
 }
 
-// divide steps the planner for each team that this manager leads.
-func (m *Manager) divide(ctx context.Context, planner *limit.Planner) error {
+// planPermits steps the planner for each team whose row this manager owns.
+func (m *Manager) planPermits(ctx context.Context, planner *limit.Planner) error {
 	rows, err := m.node.Store().Scan(ctx, limit.KeyPrefix)
 	if err != nil {
 		return errors.Wrap(err, "read the limits")
@@ -51,29 +51,29 @@
 	state := m.node.Configuration().View().State
 	for name, team := range state.Catalogue.Teams {
 		key := limit.Key(name)
-		if !m.leads(key, time.Now()) {
+		if !m.owns(key, time.Now()) {
 			continue
 		}
-		if err := m.divideTeam(ctx, planner, state.Catalogue, team, byKey[key]); err != nil {
+		if err := m.planTeamPermits(ctx, planner, state.Catalogue, team, byKey[key]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// divideTeam steps the planner for one team and carries out its decision.
-func (m *Manager) divideTeam(ctx context.Context, planner *limit.Planner, c catalogue.Catalogue, team catalogue.Team, row table.Row) error {
-	grant := limit.Allocation{Team: team.Name}
+// planTeamPermits steps the planner for one team and executes its decision.
+func (m *Manager) planTeamPermits(ctx context.Context, planner *limit.Planner, c catalogue.Catalogue, team catalogue.Team, row table.Row) error {
+	allocation := limit.Allocation{Team: team.Name}
 	if row.Version != table.Absent {
 		var err error
-		if grant, err = limit.ParseAllocation(row.Value); err != nil {
+		if allocation, err = limit.ParseAllocation(row.Value); err != nil {
 			return errors.Wrapf(err, "decode row %q", row.Key)
 		}
 	}
 	members, _ := m.node.Roster()
 	decision := planner.Step(time.Now(), limit.View{
-		Row: grant, Limit: team.UpperLimit, LongestRun: longestRun(c, team.Name),
-		Live: live(members), Ended: ended(grant, members),
+		Row: allocation, Limit: team.UpperLimit, LongestRun: longestTeamRun(c, team.Name),
+		Live: activeMembers(members), Ended: departedMembers(allocation, members),
 	})
 	for _, freeze := range decision.Freezes {
 		m.freeze(ctx, planner, freeze)
@@ -81,11 +81,11 @@
 	if decision.Action != limit.Commit {
 		return nil
 	}
-	return m.commitGrant(ctx, decision.Next, row)
+	return m.commitAllocation(ctx, decision.Next, row)
 }
 
-// commitGrant writes a team's row on condition of the version that was read.
-func (m *Manager) commitGrant(ctx context.Context, next limit.Allocation, row table.Row) error {
+// commitAllocation writes a team's row on condition of the version that was read.
+func (m *Manager) commitAllocation(ctx context.Context, next limit.Allocation, row table.Row) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "encode limit row")
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// freeze asks a member for its report.
+// freeze requests a member's report and passes it to the planner.
 func (m *Manager) freeze(ctx context.Context, planner *limit.Planner, request limit.FreezeRequest) {
 	if request.To == m.node.Member() {
 		if report, ok := m.node.Ledger().Freeze(request); ok {
@@ -116,7 +116,7 @@
 	}
 	message, err := peer.FreezeMessage(request)
 	if err != nil {
-		m.config.Log.Error("freeze not sent", "reason", err.Error())
+		m.config.Log.Error("could not encode freeze request", "reason", err.Error())
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, freezeTimeout)
@@ -127,9 +127,9 @@
 	}
 }
 
-// live returns the processes that should hold permits: those that dispatch
+// activeMembers returns the members that may hold permits, because they dispatch
 // requests or tasks.
-func live(members roster.Roster) []limit.Member {
+func activeMembers(members roster.Roster) []limit.Member {
 	var names []limit.Member
 	for _, member := range members.Members {
 		if member.State == roster.StateActive {
@@ -139,20 +139,21 @@
 	return names
 }
 
-// ended returns the row's members that the roster has dropped, which it does
-// on evidence only.
-func ended(grant limit.Allocation, members roster.Roster) []limit.Member {
+// departedMembers returns the members in the allocation that are no longer in the
+// roster. The roster removes a member only on evidence that its process has
+// ended.
+func departedMembers(allocation limit.Allocation, members roster.Roster) []limit.Member {
 	present := make(map[limit.Member]bool)
 	for _, member := range members.Members {
 		present[limit.Member(member.Identity.String())] = true
 	}
 	var names []limit.Member
-	for name := range grant.Granted {
+	for name := range allocation.Granted {
 		if !present[name] {
 			names = append(names, name)
 		}
 	}
-	for name := range grant.Carried {
+	for name := range allocation.Carried {
 		if !present[name] {
 			names = append(names, name)
 		}
@@ -160,8 +161,9 @@
 	return names
 }
 
-// longestRun bounds the work of a team: the longest of the entries that it may use.
-func longestRun(c catalogue.Catalogue, team string) time.Duration {
+// longestTeamRun returns the maximum run time of the entries that the team may
+// use.
+func longestTeamRun(c catalogue.Catalogue, team string) time.Duration {
 	longest := time.Duration(0)
 	for _, entry := range c.Entries {
 		if entry.Admits(team) {
--- a/internal/manager/members.go
+++ b/internal/manager/members.go
@@ -11,23 +11,25 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// rosterLoop removes members on evidence and settles former generations.
+// rosterLoop removes departed members from the roster and prunes its former
+// generations.
 func (m *Manager) rosterLoop(ctx context.Context) {
-	watch := newHostWatch(m.config.ListLag)
+	absence := newHostAbsence(m.config.ListLag)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(rosterInterval):
 		}
-		if err := m.tendRoster(ctx, watch); err != nil && ctx.Err() == nil {
-			m.config.Log.Debug("roster not tended", "reason", err.Error())
+		if err := m.reconcileRoster(ctx, absence); err != nil && ctx.Err() == nil {
+			m.config.Log.Debug("could not reconcile the roster", "reason", err.Error())
 		}
 	}
 }
 
-// tendRoster makes one round over the roster.
-func (m *Manager) tendRoster(ctx context.Context, watch *hostWatch) error {
+// reconcileRoster removes members that have departed, prunes former generations
+// and deletes obsolete acknowledgements.
+func (m *Manager) reconcileRoster(ctx context.Context, absence *hostAbsence) error {
 	hosts, err := m.config.Platform.Hosts(ctx)
 	if err != nil {
 		return errors.Wrap(err, "read the host list")
@@ -38,8 +40,8 @@
 	}
 	members, _ := m.node.Roster()
 	now := time.Now()
-	watch.observe(now, members, listed)
-	if !m.leads(roster.Key, now) {
+	absence.observe(now, members, listed)
+	if !m.owns(roster.Key, now) {
 		return nil
 	}
 	acks, err := m.readAcks(ctx)
@@ -47,7 +49,7 @@
 		return err
 	}
 	for _, member := range members.Members {
-		if err := m.tendMember(ctx, member, members, acks, watch.gone(now, member)); err != nil {
+		if err := m.removeDepartedMember(ctx, member, members, acks, absence.isGone(now, member)); err != nil {
 			return err
 		}
 	}
@@ -57,12 +59,12 @@
 	if err != nil {
 		return err
 	}
-	return m.dropAcks(ctx, members.ObsoleteAcks(acks))
+	return m.deleteAcks(ctx, members.ObsoleteAcks(acks))
 }
 
-// dropAcks deletes the acknowledgements of processes that no generation of the
+// deleteAcks deletes the acknowledgements of processes that no generation of the
 // roster mentions.
-func (m *Manager) dropAcks(ctx context.Context, obsolete []roster.Identity) error {
+func (m *Manager) deleteAcks(ctx context.Context, obsolete []roster.Identity) error {
 	if len(obsolete) == 0 {
 		return nil
 	}
@@ -73,7 +75,7 @@
 	return errors.Wrap(m.node.Store().Commit(ctx, txn), "delete acknowledgements")
 }
 
-// readAcks reads which roster versions the members have acknowledged.
+// readAcks returns the roster version that each member has acknowledged.
 func (m *Manager) readAcks(ctx context.Context) (roster.Acks, error) {
 	rows, err := m.node.Store().Scan(ctx, roster.AckPrefix)
 	if err != nil {
@@ -88,12 +90,13 @@
 	return acks, nil
 }
 
-// tendMember removes a member whose end is proven.
-func (m *Manager) tendMember(ctx context.Context, member roster.Member, members roster.Roster, acks roster.Acks, gone bool) error {
+// removeDepartedMember removes the member if there is evidence that it will not
+// act again: its host is gone, or it has handed over all its claims.
+func (m *Manager) removeDepartedMember(ctx context.Context, member roster.Member, members roster.Roster, acks roster.Acks, gone bool) error {
 	evidence := roster.EvidenceHostGone
 	switch {
 	case gone:
-	case handedOver(member, members, acks):
+	case hasHandedOver(member, members, acks):
 		evidence = roster.EvidenceAcknowledged
 	default:
 		return nil
@@ -104,42 +107,43 @@
 	})
 }
 
-// handedOver reports whether a leaving member acknowledged a version in which
-// it holds nothing.
-func handedOver(member roster.Member, members roster.Roster, acks roster.Acks) bool {
+// hasHandedOver reports whether a leaving member has acknowledged the current
+// roster version, in which it holds no claims.
+func hasHandedOver(member roster.Member, members roster.Roster, acks roster.Acks) bool {
 	return member.State == roster.StateLeaving && acks[member.Identity] >= members.Version
 }
 
-// hostWatch tells since when the platform's list has lacked a member's host.
-type hostWatch struct {
-	lag     time.Duration
-	missing map[roster.Identity]time.Time
+// hostAbsence tracks since when the platform's list has been missing a member's
+// host.
+type hostAbsence struct {
+	listLag      time.Duration
+	missingSince map[roster.Identity]time.Time
 }
 
-// newHostWatch returns a watch over a list with that lag.
-func newHostWatch(lag time.Duration) *hostWatch {
-	return &hostWatch{lag: lag, missing: make(map[roster.Identity]time.Time)}
+// newHostAbsence returns a hostAbsence for a list that may lag by listLag.
+func newHostAbsence(lag time.Duration) *hostAbsence {
+	return &hostAbsence{listLag: lag, missingSince: make(map[roster.Identity]time.Time)}
 }
 
-// observe takes one reading of the list.
-func (w *hostWatch) observe(now time.Time, members roster.Roster, listed map[string]bool) {
-	missing := make(map[roster.Identity]time.Time)
+// observe records one reading of the list.
+func (a *hostAbsence) observe(now time.Time, members roster.Roster, listed map[string]bool) {
+	missingSince := make(map[roster.Identity]time.Time)
 	for _, member := range members.Members {
 		if listed[member.Host] {
 			continue
 		}
-		since, ok := w.missing[member.Identity]
+		since, ok := a.missingSince[member.Identity]
 		if !ok {
 			since = now
 		}
-		missing[member.Identity] = since
+		missingSince[member.Identity] = since
 	}
-	w.missing = missing
+	a.missingSince = missingSince
 }
 
-// gone reports whether the list has lacked the member's host for longer than
-// its lag.
-func (w *hostWatch) gone(now time.Time, member roster.Member) bool {
-	since, ok := w.missing[member.Identity]
-	return ok && now.Sub(since) > w.lag
+// isGone reports whether the member's host has been missing from the list for
+// longer than listLag.
+func (a *hostAbsence) isGone(now time.Time, member roster.Member) bool {
+	since, ok := a.missingSince[member.Identity]
+	return ok && now.Sub(since) > a.listLag
 }
--- a/internal/manager/shards.go
+++ b/internal/manager/shards.go
@@ -19,16 +19,18 @@
 )
 
 const (
-	// shardInterval is the time between two looks at the shards' permits.
+	// shardInterval is the time between two rounds of the shards' loop.
 	shardInterval = 100 * time.Millisecond
 	// workerTimeout bounds one call to a worker.
 	workerTimeout = 2 * time.Second
 )
 
-// errNoQueue means that the catalogue has no such queue.
+// errNoQueue is returned for a queue that is not in the catalogue, or whose
+// runner has not been started yet.
 var errNoQueue = errors.New("queue is not in the catalogue")
 
-// Platform is what tasks need of the platform besides the table.
+// Platform is the part of the platform's API that a manager uses, apart from the
+// table.
 type Platform interface {
 	HostLister
 	Rebooter
@@ -37,27 +39,28 @@
 
 var _ Platform = (*platform.Client)(nil)
 
-// shards runs the task controllers of all pools that have queues. A shard is a
-// pool, and its queues change with the catalogue.
+// shards runs one task controller for each pool that has queues. The queues of a
+// pool form a shard; they change with the catalogue.
 type shards struct {
 	manager *Manager
 	workers *worker.Client
-	running sync.WaitGroup
+	runners sync.WaitGroup
 
 	mu     sync.Mutex
 	byPool map[string]*shard
-	// reserved are the permits that this process holds for each team's tasks.
+	// reserved counts the permits that this process has acquired for the tasks
+	// of each team.
 	reserved map[string]int
 }
 
-// shard is one pool's runner with the queues that it was started for.
+// shard is the runner of one pool and the queues that it was started with.
 type shard struct {
 	runner *runner.Runner
 	queues []string
 	stop   context.CancelFunc
 }
 
-// newShards returns shards that run nothing yet.
+// newShards returns shards without runners.
 func newShards(m *Manager) *shards {
 	return &shards{
 		manager:  m,
@@ -67,10 +70,11 @@
 	}
 }
 
-// run follows the catalogue and the permits until the context ends.
+// run starts and stops runners and allocates permits to their queues until ctx
+// is cancelled.
 func (s *shards) run(ctx context.Context) {
 	defer s.workers.Close()
-	defer s.running.Wait()
+	defer s.runners.Wait()
 	ticker := time.NewTicker(shardInterval)
 	defer ticker.Stop()
 	for {
@@ -80,14 +84,14 @@
 		case <-ticker.C:
 		}
 		c := s.manager.node.Configuration().View().State.Catalogue
-		s.follow(ctx, c)
-		s.balance(c)
+		s.reconcile(ctx, c)
+		s.allocatePermits(c)
 	}
 }
 
-// follow starts a runner for each pool with queues, and a new one when the
+// reconcile starts a runner for each pool with queues, and replaces it when the
 // pool's queues have changed.
-func (s *shards) follow(ctx context.Context, c catalogue.Catalogue) {
+func (s *shards) reconcile(ctx context.Context, c catalogue.Catalogue) {
 	wanted := queuesByPool(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +108,7 @@
 	}
 }
 
-// start runs the task controller of a pool.
+// start starts the runner of a pool.
 func (s *shards) start(ctx context.Context, pool string, queues []string) *shard {
 	m := s.manager
 	r := runner.New(runner.Config{
@@ -113,12 +117,12 @@
 		Workers: s.workers, Log: m.config.Log, ListLag: m.config.ListLag,
 	})
 	ctx, stop := context.WithCancel(ctx)
-	s.running.Go(func() { _ = r.Run(ctx) }) // ends with ctx, whose error it returns
+	s.runners.Go(func() { _ = r.Run(ctx) }) // returns only the context's error
 	return &shard{runner: r, queues: queues, stop: stop}
 }
 
-// of returns the runner that manages a queue.
-func (s *shards) of(queue string) (*runner.Runner, error) {
+// forQueue returns the runner of the pool that the queue belongs to.
+func (s *shards) forQueue(queue string) (*runner.Runner, error) {
 	entry, ok := s.manager.node.Configuration().View().State.Catalogue.Entries[queue]
 	if !ok || entry.Kind != catalogue.KindQueue {
 		return nil, errNoQueue
@@ -132,30 +136,31 @@
 	return current.runner, nil
 }
 
-// balance takes permits for the tasks that wait and run, and bounds each lane
-// by the permits in hand. A permit is given back only after the lanes' bounds
-// were lowered, so that no task can start under it any more.
-func (s *shards) balance(c catalogue.Catalogue) {
+// allocatePermits acquires permits for the waiting and running tasks of each team,
+// and limits each team queue to its part of them. Excess permits are released
+// only after the limits were lowered, so that no task can start under a released
+// permit.
+func (s *shards) allocatePermits(c catalogue.Catalogue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byTeam := make(map[string][]task.TeamQueueState)
 	for _, current := range s.byPool {
-		for _, lane := range current.runner.Dump().TeamQueues {
-			byTeam[lane.Team] = append(byTeam[lane.Team], lane)
+		for _, queue := range current.runner.Dump().TeamQueues {
+			byTeam[queue.Team] = append(byTeam[queue.Team], queue)
 		}
 	}
 	limits := make(map[task.TeamQueue]task.Limit)
-	release := make(map[string]int)
-	for _, team := range teamsOf(byTeam, s.reserved) {
-		lanes := byTeam[team]
-		release[team] = s.reserve(team, wantedBy(lanes))
-		divideLanes(c, lanes, s.reserved[team]-release[team], limits)
+	excess := make(map[string]int)
+	for _, team := range teamNames(byTeam, s.reserved) {
+		teamQueues := byTeam[team]
+		excess[team] = s.reserve(team, wantedPermits(teamQueues))
+		divideTeamPermits(c, teamQueues, s.reserved[team]-excess[team], limits)
 	}
-	closeUnseen(c, limits)
+	closeUnobserved(c, limits)
 	for _, current := range s.byPool {
 		current.runner.SetLimits(limits)
 	}
-	for team, n := range release {
+	for team, n := range excess {
 		for range n {
 			s.manager.node.Ledger().Release(team)
 			s.reserved[team]--
@@ -163,12 +168,12 @@
 	}
 }
 
-// reserve takes permits up to the wanted number and returns how many of those
-// in hand are no longer wanted.
+// reserve acquires permits up to the wanted number and returns how many reserved
+// permits are in excess of it.
 func (s *shards) reserve(team string, wanted int) (excess int) {
 	ledger := s.manager.node.Ledger()
-	if missing := wanted - s.reserved[team]; missing > 0 {
-		ledger.RecordWaiting(team, missing)
+	if shortage := wanted - s.reserved[team]; shortage > 0 {
+		ledger.RecordWaiting(team, shortage)
 	}
 	for s.reserved[team] < wanted {
 		status := ledger.Status(team)
@@ -181,7 +186,7 @@
 	return max(0, s.reserved[team]-wanted)
 }
 
-// snapshot returns the shards' state for the dump.
+// snapshot returns the dumps of the runners, keyed by pool.
 func (s *shards) snapshot() map[string]runner.Dump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +197,7 @@
 	return dumps
 }
 
-// queuesByPool returns the names of each pool's queues in order.
+// queuesByPool returns the sorted names of each pool's queues.
 func queuesByPool(c catalogue.Catalogue) map[string][]string {
 	queues := make(map[string][]string)
 	for _, name := range c.EntryNames() {
@@ -203,21 +208,23 @@
 	return queues
 }
 
-// wantedBy returns the permits that the lanes could use.
-func wantedBy(lanes []task.TeamQueueState) int {
+// wantedPermits returns the number of permits that the team queues could use: one
+// for each waiting or running task.
+func wantedPermits(teamQueues []task.TeamQueueState) int {
 	wanted := 0
-	for _, lane := range lanes {
-		wanted += lane.Waiting
+	for _, queue := range teamQueues {
+		wanted += queue.Waiting
 	}
-	return wanted + runningIn(lanes)
+	return wanted + runningTasks(teamQueues)
 }
 
-// runningIn returns the tasks that are placed or running. A lane stands in the
-// dump once for each class, each time with all that it runs.
-func runningIn(lanes []task.TeamQueueState) int {
+// runningTasks returns the number of tasks that are placed or running. The dump
+// lists a team queue once for each class, each time with the total of its running
+// tasks.
+func runningTasks(teamQueues []task.TeamQueueState) int {
 	running := make(map[task.TeamQueue]int)
-	for _, lane := range lanes {
-		running[lane.TeamQueue] = lane.Running
+	for _, queue := range teamQueues {
+		running[queue.TeamQueue] = queue.Running
 	}
 	sum := 0
 	for _, n := range running {
@@ -226,15 +233,16 @@
 	return sum
 }
 
-// divideLanes bounds a team's lanes so that together they run at most permits:
-// each keeps what it runs, and the rest goes to the lanes that wait, in turn.
-func divideLanes(c catalogue.Catalogue, lanes []task.TeamQueueState, permits int, limits map[task.TeamQueue]task.Limit) {
+// divideTeamPermits sets the limits of a team's queues so that together they run
+// at most the given number of tasks. Each queue keeps its running tasks; the
+// remaining permits go to the queues with waiting tasks, round-robin.
+func divideTeamPermits(c catalogue.Catalogue, teamQueues []task.TeamQueueState, permits int, limits map[task.TeamQueue]task.Limit) {
 	bounds, waiting := make(map[task.TeamQueue]int), make(map[task.TeamQueue]int)
-	for _, lane := range lanes {
-		bounds[lane.TeamQueue] = lane.Running
-		waiting[lane.TeamQueue] += lane.Waiting
+	for _, queue := range teamQueues {
+		bounds[queue.TeamQueue] = queue.Running
+		waiting[queue.TeamQueue] += queue.Waiting
 	}
-	spare := permits - runningIn(lanes)
+	spare := permits - runningTasks(teamQueues)
 	keys := slices.SortedFunc(maps.Keys(bounds), func(a, b task.TeamQueue) int { return strings.Compare(a.Queue, b.Queue) })
 	for granted := true; spare > 0 && granted; {
 		granted = false
@@ -248,12 +256,12 @@
 		}
 	}
 	for key, bound := range bounds {
-		limits[key] = laneLimit(c, key, bound)
+		limits[key] = teamQueueLimit(c, key, bound)
 	}
 }
 
-// laneLimit returns a lane's limit with the team's weight on the queue.
-func laneLimit(c catalogue.Catalogue, key task.TeamQueue, bound int) task.Limit {
+// teamQueueLimit returns a team queue's limit with the team's weight on the queue.
+func teamQueueLimit(c catalogue.Catalogue, key task.TeamQueue, bound int) task.Limit {
 	entry := c.Entries[key.Queue]
 	if entry.Limit > 0 {
 		bound = min(bound, entry.Limit)
@@ -261,26 +269,27 @@
 	return task.Limit{MaxRunning: bound, Closed: bound <= 0, Weight: float64(c.Weight(entry, key.Team))}
 }
 
-// closeUnseen lets no task start in a lane that nothing was counted for yet:
-// it has no permits until the next round.
-func closeUnseen(c catalogue.Catalogue, limits map[task.TeamQueue]task.Limit) {
+// closeUnobserved closes the team queues that no dump lists yet. They get permits
+// in the next round.
+func closeUnobserved(c catalogue.Catalogue, limits map[task.TeamQueue]task.Limit) {
 	for name, entry := range c.Entries {
 		if entry.Kind != catalogue.KindQueue {
 			continue
 		}
 		for team := range c.Teams {
 			key := task.TeamQueue{Queue: name, Team: team}
-			if _, seen := limits[key]; !seen {
+			if _, observed := limits[key]; !observed {
 				limits[key] = task.Limit{Closed: true}
 			}
 		}
 	}
 }
 
-// teamsOf returns the teams that have lanes or permits, in order.
-func teamsOf(lanes map[string][]task.TeamQueueState, reserved map[string]int) []string {
+// teamNames returns the sorted names of the teams that have team queues or
+// reserved permits.
+func teamNames(teamQueues map[string][]task.TeamQueueState, reserved map[string]int) []string {
 	teams := make(map[string]bool)
-	for team := range lanes {
+	for team := range teamQueues {
 		teams[team] = true
 	}
 	for team := range reserved {
@@ -289,7 +298,7 @@
 	return slices.Sorted(maps.Keys(teams))
 }
 
-// setLeaving has the workers of these hosts get nothing new.
+// setLeaving replaces the hosts whose workers must not receive new tasks.
 func (s *shards) setLeaving(hosts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,10 +307,10 @@
 	}
 }
 
-// drained reports whether the pool's shard has no work at the host's worker,
-// under the fence that is returned. It is false where another process manages
-// the shard: the host is that process's to settle.
-func (s *shards) drained(pool, host string) (fence table.Condition, drained bool) {
+// isDrained reports whether the pool's shard has no tasks on the host's worker.
+// The result holds as long as the returned fence does. It is false if another
+// process manages the shard, which then completes the host's drain itself.
+func (s *shards) isDrained(pool, host string) (fence table.Condition, drained bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := s.byPool[pool]
@@ -312,15 +321,15 @@
 	return fence, drained && err == nil
 }
 
-// has reports whether the pool has queues, and so a shard.
-func (s *shards) has(pool string) bool {
+// hasPool reports whether the pool has a runner, that is, whether it has queues.
+func (s *shards) hasPool(pool string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byPool[pool] != nil
 }
 
-// busy reports whether this process holds permits for tasks.
-func (s *shards) busy() bool {
+// holdsPermits reports whether any permits are reserved for tasks.
+func (s *shards) holdsPermits() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range s.reserved {
--- a/internal/manager/shards_test.go
+++ b/internal/manager/shards_test.go
@@ -10,58 +10,58 @@
 	"github.com/lovagedyke/lovagedyke/internal/task"
 )
 
-// Whatever waits and runs, a team's lanes may together run no more than its
-// permits, or than what runs already; and no permit that could be used is left.
-func TestLanesStayWithinPermits(t *testing.T) {
+// The limits of a team's queues add up to the team's permits, except that they
+// are never below the running tasks nor above the running and waiting tasks.
+func TestTeamQueuesStayWithinPermits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := catalogue.New()
 		c.Teams["tackle"] = catalogue.Team{Name: "tackle", UpperLimit: 100, Share: 1}
-		var lanes []task.TeamQueueState
+		var teamQueues []task.TeamQueueState
 		waiting, running := 0, 0
 		for i := range rapid.IntRange(0, 5).Draw(t, "queues") {
 			name := fmt.Sprintf("queue-%d", i)
 			c.Entries[name] = catalogue.Entry{Name: name, Kind: catalogue.KindQueue, Team: "tackle"}
-			lane := task.TeamQueueState{
+			queue := task.TeamQueueState{
 				TeamQueue: task.TeamQueue{Queue: name, Team: "tackle"},
 				Waiting:   rapid.IntRange(0, 9).Draw(t, "waiting"),
 				Running:   rapid.IntRange(0, 9).Draw(t, "running"),
 			}
-			lanes = append(lanes, lane)
-			waiting += lane.Waiting
-			running += lane.Running
+			teamQueues = append(teamQueues, queue)
+			waiting += queue.Waiting
+			running += queue.Running
 		}
 		permits := rapid.IntRange(0, 60).Draw(t, "permits")
 		limits := make(map[task.TeamQueue]task.Limit)
-		divideLanes(c, lanes, permits, limits)
+		divideTeamPermits(c, teamQueues, permits, limits)
 		sum := 0
 		for key, limit := range limits {
 			if got, want := limit.Closed, limit.MaxRunning <= 0; got != want {
-				t.Fatalf("lane %v with %d permits: got closed %v, want %v", key, limit.MaxRunning, got, want)
+				t.Fatalf("team queue %v with %d permits: got closed %v, want %v", key, limit.MaxRunning, got, want)
 			}
 			sum += limit.MaxRunning
 		}
 		if got, want := sum, max(running, min(permits, running+waiting)); got != want {
-			t.Fatalf("permits of all lanes: got %d, want %d", got, want)
+			t.Fatalf("permits of all team queues: got %d, want %d", got, want)
 		}
 	})
 }
 
-// A lane that nothing was counted for yet has no permits.
-func TestUnseenLanesAreClosed(t *testing.T) {
+// A team queue that has not been observed yet is closed.
+func TestUnobservedTeamQueuesAreClosed(t *testing.T) {
 	c := catalogue.New()
 	c.Teams["tackle"] = catalogue.Team{Name: "tackle"}
 	c.Teams["bait"] = catalogue.Team{Name: "bait"}
 	c.Entries["plans"] = catalogue.Entry{Name: "plans", Kind: catalogue.KindQueue}
 	c.Entries["orders"] = catalogue.Entry{Name: "orders", Kind: catalogue.KindService}
-	seen := task.TeamQueue{Queue: "plans", Team: "tackle"}
-	limits := map[task.TeamQueue]task.Limit{seen: {MaxRunning: 3}}
-	closeUnseen(c, limits)
+	observed := task.TeamQueue{Queue: "plans", Team: "tackle"}
+	limits := map[task.TeamQueue]task.Limit{observed: {MaxRunning: 3}}
+	closeUnobserved(c, limits)
 	tests := map[string]struct {
 		key  task.TeamQueue
 		want bool
 	}{
-		"seen":   {seen, false},
-		"unseen": {task.TeamQueue{Queue: "plans", Team: "bait"}, true},
+		"observed":   {observed, false},
+		"unobserved": {task.TeamQueue{Queue: "plans", Team: "bait"}, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -71,6 +71,6 @@
 		})
 	}
 	if got, want := len(limits), 2; got != want {
-		t.Errorf("lanes: got %d, want %d", got, want)
+		t.Errorf("team queues: got %d, want %d", got, want)
 	}
 }
--- a/internal/manager/waves.go
+++ b/internal/manager/waves.go
@@ -15,31 +15,33 @@
 )
 
 const (
-	// waveInterval is the time between two looks at the waves.
+	// waveInterval is the time between two steps of the waves.
 	waveInterval = 500 * time.Millisecond
-	// waveKeyPrefix starts the keys of the waves' rows, one for each pool.
+	// waveKeyPrefix is the key prefix of the waves' rows, one for each pool.
 	waveKeyPrefix = "wave/"
-	// fullBudget stands for the availability budget, which is not counted yet.
-	fullBudget = 1
+	// fullAvailabilityBudget is passed to waves because the use of the
+	// availability budget is not measured yet.
+	fullAvailabilityBudget = 1
 )
 
-// waveRow is the value of a wave's row: what must outlive a manager.
+// waveRow is the value of a wave's row: the state that the next manager needs
+// when this one ends.
 type waveRow struct {
 	Pool string `json:"pool"`
 	Need int    `json:"need"`
-	// Hosts are those that the wave has begun to take down.
+	// Hosts holds the hosts whose maintenance has started, keyed by name.
 	Hosts map[string]waveHost `json:"hosts,omitempty"`
-	// Resumed counts an operator's words to go on after failures.
+	// Resumed counts the operators' requests to resume the wave.
 	Resumed  int    `json:"resumed"`
 	Verdict  string `json:"verdict"`
 	Reason   string `json:"reason,omitempty"`
 	Finished bool   `json:"finished,omitempty"`
 }
 
-// waveHost is where one host of a wave stands.
+// waveHost is the progress of a host's maintenance.
 type waveHost struct {
 	State wave.State `json:"state"`
-	// Boot is the count of the host's starts when it was taken down.
+	// Boot is the host's boot count at DownAt, when it was taken down.
 	Boot     uint64    `json:"boot"`
 	DownAt   time.Time `json:"down-at"`
 	Rebooted bool      `json:"rebooted,omitempty"`
@@ -50,20 +52,21 @@
 	Reboot(ctx context.Context, host string) error
 }
 
-// waves drives the maintenance waves that this manager leads. It is used by one
-// loop only.
+// waves runs the maintenance waves that this manager owns. It is not safe for
+// concurrent use.
 type waves struct {
 	manager *Manager
 	byPool  map[string]*runningWave
 }
 
-// runningWave is a wave's decision with what it was told of last.
+// runningWave is a wave's state machine and the count of resumptions that it has
+// handled.
 type runningWave struct {
 	wave    *wave.Wave
 	resumed int
 }
 
-// waveLoop steps the waves until the context ends.
+// waveLoop steps the waves until ctx is cancelled.
 func (m *Manager) waveLoop(ctx context.Context) {
 	w := &waves{manager: m, byPool: make(map[string]*runningWave)}
 	for {
@@ -72,19 +75,19 @@
 			return
 		case <-time.After(waveInterval):
 		}
-		if err := w.tend(ctx); err != nil && ctx.Err() == nil {
-			m.config.Log.Debug("waves not stepped", "reason", err.Error())
+		if err := w.stepAll(ctx); err != nil && ctx.Err() == nil {
+			m.config.Log.Debug("could not step the maintenance waves", "reason", err.Error())
 		}
 	}
 }
 
-// tend steps each wave that this manager leads.
-func (w *waves) tend(ctx context.Context) error {
+// stepAll steps each unfinished wave that this manager owns.
+func (w *waves) stepAll(ctx context.Context) error {
 	rows, err := w.manager.node.Store().Scan(ctx, waveKeyPrefix)
 	if err != nil {
 		return errors.Wrap(err, "read the waves")
 	}
-	total, err := resultsOf(rows)
+	total, err := totalResults(rows)
 	if err != nil {
 		return err
 	}
@@ -93,21 +96,21 @@
 		if err != nil {
 			return err
 		}
-		if current.Finished || !w.manager.leads(row.Key, time.Now()) {
+		if current.Finished || !w.manager.owns(row.Key, time.Now()) {
 			delete(w.byPool, current.Pool)
 			continue
 		}
 		own := current.results()
-		elsewhere := wave.Results{Done: total.Done - own.Done, Failed: total.Failed - own.Failed}
-		if err := w.step(ctx, row, current, elsewhere); err != nil {
+		otherPools := wave.Results{Done: total.Done - own.Done, Failed: total.Failed - own.Failed}
+		if err := w.step(ctx, row, current, otherPools); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// resultsOf counts how maintenance went in the waves that are under way.
-func resultsOf(rows []table.Row) (wave.Results, error) {
+// totalResults counts the maintenance results of all unfinished waves.
+func totalResults(rows []table.Row) (wave.Results, error) {
 	var total wave.Results
 	for _, row := range rows {
 		current, err := decodeWave(row)
@@ -121,8 +124,8 @@
 	return total, nil
 }
 
-// results counts how maintenance went in this wave; one that has finished says
-// nothing of the next.
+// results counts the wave's maintenance results. A finished wave has none, because
+// they say nothing about the next one.
 func (r waveRow) results() wave.Results {
 	var results wave.Results
 	if r.Finished {
@@ -139,17 +142,17 @@
 	return results
 }
 
-// step brings one wave forward. The row is written before a host is taken
-// down, so that a manager that takes over knows of it.
-func (w *waves) step(ctx context.Context, row table.Row, current waveRow, elsewhere wave.Results) error {
+// step advances one wave. It writes the row before it drains a host, so that a
+// manager that takes over knows of the drain.
+func (w *waves) step(ctx context.Context, row table.Row, current waveRow, otherPools wave.Results) error {
 	hosts, err := w.poolHosts(ctx, current.Pool)
 	if err != nil {
 		return err
 	}
 	next := current.clone()
 	now := time.Now()
-	view := w.observe(ctx, now, hosts, &next)
-	view.OtherPools = elsewhere
+	view := w.observePool(ctx, now, hosts, &next)
+	view.OtherPools = otherPools
 	decision := w.decide(now, view, next)
 	for _, name := range decision.Start {
 		next.Hosts[name] = waveHost{State: wave.StateDown, Boot: hosts[name].boot, DownAt: now}
@@ -168,7 +171,8 @@
 	return nil
 }
 
-// decide steps the wave's decision, after telling it of an operator's word.
+// decide steps the wave's state machine, after passing on an operator's request
+// to resume.
 func (w *waves) decide(now time.Time, view wave.View, row waveRow) wave.Decision {
 	running := w.byPool[row.Pool]
 	if running == nil {
@@ -182,14 +186,14 @@
 	return running.wave.Step(now, view)
 }
 
-// poolHost is a host of the pool as list and assignment tell.
+// poolHost combines a host's assignment with its state on the platform.
 type poolHost struct {
 	api.Host
 	boot uint64
 	live bool
 }
 
-// poolHosts returns the hosts assigned to the pool, by name.
+// poolHosts returns the hosts assigned to the pool, keyed by name.
 func (w *waves) poolHosts(ctx context.Context, name string) (map[string]poolHost, error) {
 	hosts, err := w.manager.Hosts(ctx)
 	if err != nil {
@@ -199,44 +203,45 @@
 	if err != nil {
 		return nil, err
 	}
-	boots := make(map[string]platform.Host)
+	listedByName := make(map[string]platform.Host)
 	for _, host := range listed {
-		boots[host.Name] = host
+		listedByName[host.Name] = host
 	}
 	ofPool := make(map[string]poolHost)
 	for _, host := range hosts {
 		if host.Pool == name {
-			at := boots[host.Name]
-			ofPool[host.Name] = poolHost{Host: host, boot: at.Boot, live: at.State == platform.Live}
+			listedHost := listedByName[host.Name]
+			ofPool[host.Name] = poolHost{Host: host, boot: listedHost.Boot, live: listedHost.State == platform.Live}
 		}
 	}
 	return ofPool, nil
 }
 
-// observe brings the hosts of the wave forward and returns the pool's state.
-func (w *waves) observe(ctx context.Context, now time.Time, hosts map[string]poolHost, row *waveRow) wave.View {
-	view := wave.View{Need: row.Need, BudgetLeft: fullBudget}
+// observePool advances the maintenance of the wave's hosts and returns the pool's
+// state for the wave.
+func (w *waves) observePool(ctx context.Context, now time.Time, hosts map[string]poolHost, row *waveRow) wave.View {
+	view := wave.View{Need: row.Need, BudgetLeft: fullAvailabilityBudget}
 	for name, host := range hosts {
-		if begun, ok := row.Hosts[name]; ok {
-			row.Hosts[name] = w.advance(ctx, now, host, begun)
+		if progress, ok := row.Hosts[name]; ok {
+			row.Hosts[name] = w.advanceHost(ctx, now, host, progress)
 		}
 		view.Hosts = append(view.Hosts, wave.Host{
-			Name: name, Rack: host.Rack, DataCentre: host.DataCentre, State: stateOf(host, row.Hosts[name]),
+			Name: name, Rack: host.Rack, DataCentre: host.DataCentre, State: hostState(host, row.Hosts[name]),
 		})
 	}
 	return view
 }
 
-// stateOf tells where a host stands in the wave.
-func stateOf(host poolHost, begun waveHost) wave.State {
+// hostState returns a host's state in the wave.
+func hostState(host poolHost, progress waveHost) wave.State {
 	serving := host.live && host.Phase == string(pool.Serving)
 	switch {
-	case begun.State == wave.StateDone && !host.live:
+	case progress.State == wave.StateDone && !host.live:
 		return wave.StateFailed
-	case begun.State == wave.StateDone && !serving:
+	case progress.State == wave.StateDone && !serving:
 		return wave.StateLost
-	case begun.State != "":
-		return begun.State
+	case progress.State != "":
+		return progress.State
 	case serving:
 		return wave.StatePending
 	default:
@@ -244,35 +249,36 @@
 	}
 }
 
-// advance brings one host of the wave forward: drained, rebooted, back.
-func (w *waves) advance(ctx context.Context, now time.Time, host poolHost, begun waveHost) waveHost {
+// advanceHost takes the next step of a host's maintenance: drain, reboot or
+// return.
+func (w *waves) advanceHost(ctx context.Context, now time.Time, host poolHost, progress waveHost) waveHost {
 	m := w.manager
 	switch {
-	case begun.State == wave.StateDone:
-	case host.boot > begun.Boot && host.live && host.Phase == string(pool.Serving):
-		begun.State = wave.StateDone
-	case host.boot > begun.Boot && host.live:
+	case progress.State == wave.StateDone:
+	case host.boot > progress.Boot && host.live && host.Phase == string(pool.Serving):
+		progress.State = wave.StateDone
+	case host.boot > progress.Boot && host.live:
 		if _, err := m.ReturnHost(ctx, host.Name); err != nil {
-			m.config.Log.Warn("host not returned", "host", host.Name, "reason", err.Error())
+			m.config.Log.Warn("could not return host to its pool", "host", host.Name, "reason", err.Error())
 		}
-	case now.Sub(begun.DownAt) > m.config.RebootLimit:
-		begun.State = wave.StateFailed
+	case now.Sub(progress.DownAt) > m.config.RebootLimit:
+		progress.State = wave.StateFailed
 	case host.Phase == string(pool.Serving):
-		// The drain did not follow the row: its manager ended in between.
+		// The manager that wrote the row ended before it started the drain.
 		if _, err := m.DrainHost(ctx, host.Name, pool.Maintenance, ""); err != nil {
-			m.config.Log.Warn("host not drained", "host", host.Name, "reason", err.Error())
+			m.config.Log.Warn("could not start to drain host", "host", host.Name, "reason", err.Error())
 		}
-	case host.Phase == string(pool.Drained) && !begun.Rebooted:
+	case host.Phase == string(pool.Drained) && !progress.Rebooted:
 		if err := m.config.Platform.Reboot(ctx, host.Name); err != nil {
-			m.config.Log.Warn("host not rebooted", "host", host.Name, "reason", err.Error())
-			return begun
+			m.config.Log.Warn("could not reboot host", "host", host.Name, "reason", err.Error())
+			return progress
 		}
-		begun.Rebooted = true
+		progress.Rebooted = true
 	}
-	return begun
+	return progress
 }
 
-// commit writes the row if it has changed.
+// commit writes the row if next differs from current.
 func (w *waves) commit(ctx context.Context, row table.Row, current, next waveRow) error {
 	before, err := json.Marshal(current)
 	if err != nil {
@@ -288,7 +294,7 @@
 	})
 }
 
-// clone returns a row whose map may be changed.
+// clone returns a copy of the row with its own map of hosts.
 func (r waveRow) clone() waveRow {
 	hosts := make(map[string]waveHost, len(r.Hosts))
 	for name, host := range r.Hosts {
@@ -298,7 +304,7 @@
 	return r
 }
 
-// decodeWave reads a wave's row.
+// decodeWave decodes a wave's row.
 func decodeWave(row table.Row) (waveRow, error) {
 	var current waveRow
 	err := json.Unmarshal(row.Value, &current)
