--- a/internal/experiment/bound.go
+++ b/internal/experiment/bound.go
@@ -2,47 +2,49 @@
 
 import "github.com/lovagedyke/lovagedyke/internal/share"
 
-// claim is one flow's weight, class and demand in slots.
-type claim struct {
+// flowDemand is one flow's class, weight and demand in slots.
+type flowDemand struct {
 	class  share.Class
 	weight float64
 	demand float64
 }
 
-// boundSteps bisects the water level far below a thousandth of a slot.
-const boundSteps = 60
+// bisectionSteps brings the error of the water level far below a thousandth of a
+// slot.
+const bisectionSteps = 60
 
-// maxMinBound is the weighted max-min division, class by class, that a single
-// queue with full knowledge would give. It searches for the water level, so
-// that it shares no code with the scheduler that it judges.
-func maxMinBound(capacity float64, claims []claim) []float64 {
-	out := make([]float64, len(claims))
+// maxMinBound returns the weighted max-min allocation, class by class, of a
+// single queue with full knowledge. It finds the water level by bisection, so
+// that it shares no code with the scheduler under test.
+func maxMinBound(capacity float64, demands []flowDemand) []float64 {
+	out := make([]float64, len(demands))
 	for class := share.Urgent; class <= share.Batch; class++ {
 		low, high := 0.0, 1.0
-		for _, c := range claims {
+		for _, c := range demands {
 			high = max(high, (capacity+1)/c.weight)
 		}
-		for range boundSteps {
+		for range bisectionSteps {
 			level := (low + high) / 2
-			if filled(level, class, claims) > capacity {
+			if allocatedAt(level, class, demands) > capacity {
 				high = level
 			} else {
 				low = level
 			}
 		}
-		for i, c := range claims {
+		for i, c := range demands {
 			if c.class == class {
 				out[i] = min(c.demand, low*c.weight)
 			}
 		}
-		capacity = max(0, capacity-filled(low, class, claims))
+		capacity = max(0, capacity-allocatedAt(low, class, demands))
 	}
 	return out
 }
 
-func filled(level float64, class share.Class, claims []claim) float64 {
+// allocatedAt returns the slots that a class uses at a water level.
+func allocatedAt(level float64, class share.Class, demands []flowDemand) float64 {
 	sum := 0.0
-	for _, c := range claims {
+	for _, c := range demands {
 		if c.class == class {
 			sum += min(c.demand, level*c.weight)
 		}
--- a/internal/experiment/chooser.go
+++ b/internal/experiment/chooser.go
@@ -6,7 +6,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/route"
 )
 
-// pickerChooser is the product's route.Picker.
+// pickerChooser chooses with the route.Picker of the manager.
 type pickerChooser struct {
 	bench  *routeBench
 	picker *route.Picker
@@ -24,7 +24,7 @@
 }
 
 func (c *pickerChooser) pick() (int, bool) {
-	addr, ok := c.picker.Pick(c.bench.now, c.bench.choices, nil)
+	addr, ok := c.picker.Pick(c.bench.now, c.bench.policyRandom, nil)
 	return int(addr.Port()) - firstPort, ok
 }
 
@@ -32,13 +32,13 @@
 	c.picker.Done(c.bench.now, endpointAddress(endpoint), result, took)
 }
 
-// randomChoice picks any endpoint.
+// randomChoice picks an endpoint at random.
 type randomChoice struct{ bench *routeBench }
 
 func newRandomChoice(b *routeBench, _ *routeEntry) chooser { return randomChoice{b} }
 
 func (c randomChoice) pick() (int, bool) {
-	return c.bench.choices.IntN(c.bench.deployment.Endpoints), true
+	return c.bench.policyRandom.IntN(c.bench.deployment.Endpoints), true
 }
 
 func (c randomChoice) done(int, route.Result, time.Duration) {}
@@ -60,7 +60,8 @@
 
 func (c *roundRobin) done(int, route.Result, time.Duration) {}
 
-// leastLocal picks the endpoint with the fewest requests of its own entry.
+// leastLocal picks the endpoint with the fewest requests in flight from its own
+// entry.
 type leastLocal struct {
 	bench    *routeBench
 	inFlight []int
@@ -72,7 +73,7 @@
 
 func (c *leastLocal) pick() (int, bool) {
 	best := -1
-	for _, i := range c.bench.choices.Perm(len(c.inFlight)) {
+	for _, i := range c.bench.policyRandom.Perm(len(c.inFlight)) {
 		if best < 0 || c.inFlight[i] < c.inFlight[best] {
 			best = i
 		}
@@ -85,20 +86,21 @@
 	c.inFlight[endpoint]--
 }
 
-// permits lets an entry use only its own slots of each endpoint, so that no
-// endpoint ever gets more than it has slots.
+// permits limits each entry to a fixed set of endpoint slots. The sets are
+// disjoint, so no endpoint gets more requests than it has slots.
 type permits struct {
 	bench *routeBench
 	free  []int
 }
 
-// newEvenPermits deals the slots of each endpoint to the entries in turn.
-func newEvenPermits(b *routeBench, e *routeEntry) chooser {
+// newInterleavedPermits assigns the slots of each endpoint to the entries in turn.
+func newInterleavedPermits(b *routeBench, e *routeEntry) chooser {
 	return newPermits(b, func(slot int) bool { return slot%b.deployment.Entries == e.index })
 }
 
-// newHomePermits gives each entry the slots of a few endpoints.
-func newHomePermits(b *routeBench, e *routeEntry) chooser {
+// newContiguousPermits assigns each entry consecutive slots, so that it uses only a
+// few endpoints.
+func newContiguousPermits(b *routeBench, e *routeEntry) chooser {
 	return newPermits(b, func(slot int) bool {
 		return slot*b.deployment.Entries/b.deployment.slots() == e.index
 	})
@@ -116,7 +118,7 @@
 
 func (c *permits) pick() (int, bool) {
 	best := -1
-	for _, i := range c.bench.choices.Perm(len(c.free)) {
+	for _, i := range c.bench.policyRandom.Perm(len(c.free)) {
 		if c.free[i] > 0 && (best < 0 || c.free[i] > c.free[best]) {
 			best = i
 		}
--- a/internal/experiment/deployment.go
+++ b/internal/experiment/deployment.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sizes that the deployments have in common.
+// Parameters that all deployments share.
 const (
 	slotsPerEndpoint       = 8
 	connectionsPerEndpoint = 64
@@ -16,22 +16,22 @@
 	localDelay             = 200 * time.Microsecond
 	remoteDelay            = 1500 * time.Microsecond
 	gossipLoss             = 0.01
-	patience               = time.Second // from arrival to the latest useful start
-	runTimeSpread          = 0.8         // sigma of the log-normal run time
+	maxStartDelay          = time.Second // from arrival until the request is refused
+	runTimeSigma           = 0.8         // of the log-normal distribution
 )
 
-// Deployment is the size of one of the fleets of today. The endpoints are
-// those of its smallest service, where whole slots divide worst.
+// Deployment describes one deployed fleet. Endpoints counts those of its smallest
+// service, where dividing whole slots has the largest rounding error.
 type Deployment struct {
 	Name        string
 	Entries     int
 	DataCentres []string
 	Endpoints   int
-	Weights     []float64 // by team, the largest first
+	Weights     []float64 // by team, in descending order
 	RunTime     time.Duration
 }
 
-// Deployments are the fleets of today.
+// Deployments lists the deployed fleets.
 var Deployments = []Deployment{
 	{
 		Name:        "tanoa",
@@ -82,7 +82,7 @@
 	return out
 }
 
-// share is the part of the slots that a team's weight gives it.
+// share returns a team's part of the slots by weight.
 func (d Deployment) share(team int) float64 {
 	sum := 0.0
 	for _, w := range d.Weights {
@@ -94,7 +94,7 @@
 // runTime draws a log-normal run time with the deployment's mean.
 func (d Deployment) runTime(random *rand.Rand) time.Duration {
 	mean := d.RunTime.Seconds()
-	seconds := mean * math.Exp(runTimeSpread*random.NormFloat64()-runTimeSpread*runTimeSpread/2)
+	seconds := mean * math.Exp(runTimeSigma*random.NormFloat64()-runTimeSigma*runTimeSigma/2)
 	return time.Duration(seconds * float64(time.Second))
 }
 
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -7,11 +7,12 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// engine runs events in virtual time; equal times run in the order of planning.
+// engine is a discrete event simulator. Events at the same virtual time run in
+// the order in which they were scheduled.
 type engine struct {
 	now     time.Time
-	planned eventHeap
-	count   uint64
+	events  eventHeap
+	lastSeq uint64
 }
 
 func newEngine() *engine {
@@ -19,8 +20,8 @@
 }
 
 func (e *engine) after(d time.Duration, run func()) {
-	e.count++
-	heap.Push(&e.planned, event{at: e.now.Add(d), order: e.count, run: run})
+	e.lastSeq++
+	heap.Push(&e.events, event{at: e.now.Add(d), seq: e.lastSeq, run: run})
 }
 
 func (e *engine) every(phase, period time.Duration, run func()) {
@@ -32,23 +33,23 @@
 
 func (e *engine) runFor(d time.Duration) {
 	end := e.now.Add(d)
-	for len(e.planned) > 0 && !e.planned[0].at.After(end) {
-		next := heap.Pop(&e.planned).(event)
+	for len(e.events) > 0 && !e.events[0].at.After(end) {
+		next := heap.Pop(&e.events).(event)
 		e.now = next.at
 		next.run()
 	}
 	e.now = end
 }
 
-// elapsed is the virtual time since the start.
+// elapsed returns the virtual time since the start.
 func (e *engine) elapsed() time.Duration {
 	return e.now.Sub(epoch)
 }
 
 type event struct {
-	at    time.Time
-	order uint64
-	run   func()
+	at  time.Time
+	seq uint64
+	run func()
 }
 
 // eventHeap implements heap.Interface.
@@ -59,7 +60,7 @@
 
 func (h eventHeap) Less(i, j int) bool {
 	if h[i].at.Equal(h[j].at) {
-		return h[i].order < h[j].order
+		return h[i].seq < h[j].seq
 	}
 	return h[i].at.Before(h[j].at)
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,9 +1,10 @@
-// Package experiment measures the decision packages against simpler ways.
+// Package experiment compares the scheduling, routing, retry, pool and wave
+// policies with simpler baselines by simulation.
 //
-// It steps the same packages that an entry runs (share, route, retry) in
-// virtual time over small fakes of callers and endpoints, with the sizes of
-// today's deployments. Every policy runs beside its baselines on the same
-// seeds. A run depends on nothing but its seed.
+// It runs the packages of the manager (share, route, retry, pool, wave) in
+// virtual time against simulated callers, endpoints and hosts, with the sizes of
+// the deployed fleets. Each policy and its baselines run with the same seeds. The
+// result of a run depends only on its seed.
 //
 // # Usage
 //
@@ -22,7 +23,7 @@
 	"github.com/sourcegraph/conc/iter"
 )
 
-// Part is one family of policies.
+// Part is a group of policies that are compared with each other.
 type Part string
 
 // The parts in the order in which they run.
@@ -34,28 +35,28 @@
 	Waves Part = "waves"
 )
 
-// Parts are all parts.
+// Parts lists all parts.
 var Parts = []Part{Share, Route, Retry, Pools, Waves}
 
-// maxConcurrentRuns leaves most of a machine to others.
+// maxConcurrentRuns leaves most of the computer's CPUs to other processes.
 const maxConcurrentRuns = 4
 
-// Config says what to run.
+// Config selects the deployments, parts and number of seeds.
 type Config struct {
 	Deployments []Deployment
 	Parts       []Part
 	Seeds       int
 }
 
-// Report is what was measured. Slots are the mean slots of each flow beside the
-// max-min division; Curves hold the share curves for plots.
+// Report holds the results. Slots holds each flow's mean slots in use and its
+// max-min allocation, and Curves the data of the share plots.
 type Report struct {
 	Rows   []Row   `json:"rows"`
 	Slots  []Row   `json:"slots,omitempty"`
 	Curves []Curve `json:"-"`
 }
 
-// Row is one policy in one scenario over all seeds.
+// Row holds the metrics of one policy in one scenario over all seeds.
 type Row struct {
 	Part       Part     `json:"part"`
 	Deployment string   `json:"deployment"`
@@ -64,7 +65,7 @@
 	Metrics    []Metric `json:"metrics"`
 }
 
-// Metric is a measure over the seeds: median, least and greatest.
+// Metric is the median, minimum and maximum of a measure over the seeds.
 type Metric struct {
 	Name   string  `json:"name"`
 	Unit   string  `json:"unit"`
@@ -73,22 +74,23 @@
 	High   float64 `json:"high"`
 }
 
-// Curve is each team's use relative to its bound, by second, in the first run.
+// Curve holds each flow's slots in use relative to its max-min allocation, second
+// by second, in the first seed's run.
 type Curve struct {
 	Deployment string
 	Scenario   string
 	Policy     string
-	Ratios     [][]float64 // by second, then by team
+	Ratios     [][]float64 // by second, then by flow
 }
 
-// value is one measure of one run.
+// value is one measurement of one run.
 type value struct {
-	name string
-	unit string
-	got  float64
+	name   string
+	unit   string
+	amount float64
 }
 
-// outcome is one run.
+// outcome holds the measurements of one run.
 type outcome struct {
 	values []value
 	slots  []value
@@ -96,7 +98,7 @@
 	curve  [][]float64
 }
 
-// trial is a policy in a scenario, to be run once for each seed.
+// trial runs a policy in a scenario; it runs once for each seed.
 type trial struct {
 	part       Part
 	deployment string
@@ -105,7 +107,7 @@
 	run        func(seed uint64) outcome
 }
 
-// Run measures all policies of the parts.
+// Run measures all policies of the configured parts in each deployment.
 func Run(cfg Config) Report {
 	var trials []trial
 	for _, part := range Parts {
@@ -113,7 +115,7 @@
 			continue
 		}
 		for _, d := range cfg.Deployments {
-			trials = append(trials, trialsOf(part, d)...)
+			trials = append(trials, trialsFor(part, d)...)
 		}
 	}
 	type job struct {
@@ -137,7 +139,7 @@
 	return report
 }
 
-func trialsOf(part Part, d Deployment) []trial {
+func trialsFor(part Part, d Deployment) []trial {
 	switch part {
 	case Share:
 		return shareTrials(d)
@@ -175,13 +177,13 @@
 func (t trial) row(runs []outcome, values func(outcome) []value) Row {
 	row := Row{Part: t.part, Deployment: t.deployment, Scenario: t.scenario, Policy: t.policy}
 	for i, first := range values(runs[0]) {
-		got := make([]float64, len(runs))
+		amounts := make([]float64, len(runs))
 		for k, run := range runs {
-			got[k] = values(run)[i].got
+			amounts[k] = values(run)[i].amount
 		}
-		slices.Sort(got)
+		slices.Sort(amounts)
 		row.Metrics = append(row.Metrics, Metric{
-			Name: first.name, Unit: first.unit, Median: median(got), Low: got[0], High: got[len(got)-1],
+			Name: first.name, Unit: first.unit, Median: median(amounts), Low: amounts[0], High: amounts[len(amounts)-1],
 		})
 	}
 	return row
--- a/internal/experiment/fluid.go
+++ b/internal/experiment/fluid.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// observedWindow is the time over which a queue's load is averaged.
-const observedWindow = time.Second
+// loadWindow is the time over which a queue's load is averaged.
+const loadWindow = time.Second
 
-// parcel is work that arrived in one tick, in host-seconds.
-type parcel struct {
+// timedWork is an amount of work, in host-seconds, at a point in time.
+type timedWork struct {
 	at   time.Time
 	work float64
 }
 
-// fluidQueue is a queue of divisible work, first come first served.
+// fluidQueue is a first-in, first-out queue of divisible work.
 type fluidQueue struct {
-	waiting  []parcel
-	arrivals []parcel
-	backlogs []parcel
+	waiting  []timedWork
+	arrivals []timedWork
+	backlogs []timedWork
 	backlog  float64
 }
 
-func (q *fluidQueue) arrive(at time.Time, work float64) {
-	q.waiting = append(q.waiting, parcel{at, work})
+func (q *fluidQueue) enqueue(at time.Time, work float64) {
+	q.waiting = append(q.waiting, timedWork{at, work})
 	q.backlog += work
-	q.arrivals = append(recent(q.arrivals, at), parcel{at, work})
+	q.arrivals = append(trimOld(q.arrivals, at), timedWork{at, work})
 }
 
-// serve uses the capacity of a tick, in host-seconds, and returns what of it
-// was used and how much of that work was late.
+// serve performs as much work as the capacity, in host-seconds, allows. It returns
+// the work performed, and how much of it waited longer than poolMaxStartDelay.
 func (q *fluidQueue) serve(now time.Time, capacity float64) (served, late float64) {
 	for len(q.waiting) > 0 && served < capacity {
 		first := &q.waiting[0]
 		work := min(first.work, capacity-served)
 		served += work
-		if now.Sub(first.at) > poolPatience {
+		if now.Sub(first.at) > poolMaxStartDelay {
 			late += work
 		}
 		first.work -= work
@@ -41,26 +41,26 @@
 		}
 	}
 	q.backlog = max(0, q.backlog-served)
-	q.backlogs = append(recent(q.backlogs, now), parcel{now, q.backlog})
+	q.backlogs = append(trimOld(q.backlogs, now), timedWork{now, q.backlog})
 	return served, late
 }
 
-// overdue is the waiting work that can only be late.
-func (q *fluidQueue) overdue(now time.Time) float64 {
+// overdueWork returns the waiting work that is already late.
+func (q *fluidQueue) overdueWork(now time.Time) float64 {
 	sum := 0.0
 	for _, p := range q.waiting {
-		if now.Sub(p.at) > poolPatience {
+		if now.Sub(p.at) > poolMaxStartDelay {
 			sum += p.work
 		}
 	}
 	return sum
 }
 
-// observed is the load in hosts and the backlog as they were at a time. Work
-// that the next tick will serve is no backlog.
-func (q *fluidQueue) observed(at time.Time) (load float64, backlog time.Duration) {
+// observation returns the load, in hosts, and the backlog as of a past time. The
+// backlog is what remained after the serve call of that tick.
+func (q *fluidQueue) observation(at time.Time) (load float64, backlog time.Duration) {
 	for _, p := range q.arrivals {
-		if age := at.Sub(p.at); age >= 0 && age < observedWindow {
+		if age := at.Sub(p.at); age >= 0 && age < loadWindow {
 			load += p.work
 		}
 	}
@@ -69,13 +69,13 @@
 			backlog = time.Duration(p.work * float64(time.Second))
 		}
 	}
-	return load / observedWindow.Seconds(), backlog
+	return load / loadWindow.Seconds(), backlog
 }
 
-// recent drops the parcels that no observation needs any more.
-func recent(parcels []parcel, now time.Time) []parcel {
-	for len(parcels) > 0 && now.Sub(parcels[0].at) > observationLag+observedWindow {
-		parcels = parcels[1:]
+// trimOld drops the items that are too old for any later observation.
+func trimOld(items []timedWork, now time.Time) []timedWork {
+	for len(items) > 0 && now.Sub(items[0].at) > observationLag+loadWindow {
+		items = items[1:]
 	}
-	return parcels
+	return items
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -18,11 +18,12 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// WritePlots writes a PNG for each share curve: each team's use relative to
-// the max-min division, second by second, in the first seed's run.
+// WritePlots writes a PNG for each share curve, and two for each deployment whose
+// pools were measured. A share curve shows each flow's slots in use relative to its
+// max-min allocation, second by second, in the first seed's run.
 func (r Report) WritePlots(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return errors.Wrapf(err, "making the directory %q", dir)
+		return errors.Wrapf(err, "create the directory %q", dir)
 	}
 	if err := r.writeMovePlots(dir); err != nil {
 		return err
@@ -52,10 +53,10 @@
 		lines = append(lines, fmt.Sprintf("flow %d", flow), points)
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
-		return errors.Wrap(err, "plotting the share curve")
+		return errors.Wrap(err, "plot the share curve")
 	}
 	name := strings.NewReplacer(" ", "-", ",", "", ".", "-").Replace(
 		fmt.Sprintf("share-%s-%s-%s", c.Deployment, c.Scenario, c.Policy))
 	path := filepath.Join(dir, name+".png")
-	return errors.Wrapf(p.Save(plotWidth, plotHeight, path), "writing %q", path)
+	return errors.Wrapf(p.Save(plotWidth, plotHeight, path), "write %q", path)
 }
--- a/internal/experiment/pool_test.go
+++ b/internal/experiment/pool_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// TestPoolTargets holds the planner to its stated targets with one seed; the
-// command measures five and all thresholds.
+// TestPoolTargets checks the planner against its targets with one seed; the command
+// measures five seeds and all thresholds.
 func TestPoolTargets(t *testing.T) {
 	const lateRatio, movesRatio = 3, 3
 	scenario := poolScenarios[0]
 	fixed := runPools(scenario, 1, newFixedPools)
 	base := runPools(scenario, 1, newThreshold(0.5, false))
-	// Moves weigh more in one deployment, and shares in the other.
+	// Tanoa weighs moves higher, and Ripustus the nearness to the shares.
 	byWeights := map[string]*poolMeasure{}
-	for name, weights := range measureWeights {
+	for name, weights := range deploymentWeights {
 		byWeights[name] = runPools(scenario, 1, newPlannerPolicy(weights))
 	}
 	if got, want := byWeights["tanoa"].moves, byWeights["ripustus"].moves; got >= want {
@@ -41,7 +41,7 @@
 				}
 			}
 			if got, want := fewest, base.moves/movesRatio; got > want {
-				t.Errorf("moves no later than a threshold: got %d, want at most %d", got, want)
+				t.Errorf("moves of a planner with no more late work than the threshold: got %d, want at most %d", got, want)
 			}
 		})
 	}
@@ -50,29 +50,29 @@
 func TestPoolRunKeepsTheMinimum(t *testing.T) {
 	for _, scenario := range poolScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
-			make := newPlannerPolicy(measureWeights["tanoa"])
+			make := newPlannerPolicy(deploymentWeights["tanoa"])
 			got := runPools(scenario, 2, make)
-			if got.below != 0 || got.moves == 0 {
-				t.Errorf("got %d moves, %d of them below the minimum, want some and none", got.moves, got.below)
+			if got.belowMinimum != 0 || got.moves == 0 {
+				t.Errorf("got %d moves, %d of them below the minimum, want at least one move and none below the minimum", got.moves, got.belowMinimum)
 			}
 			if again := runPools(scenario, 2, make); !reflect.DeepEqual(got.outcome(), again.outcome()) {
-				t.Errorf("the same seed again: got %v, want %v", again.outcome(), got.outcome())
+				t.Errorf("second run with the same seed: got %v, want %v", again.outcome(), got.outcome())
 			}
-			bound := leastMoves(newPoolBench(scenario, 2).turns)
+			bound := minMoves(newPoolBench(scenario, 2).turns)
 			if bound == 0 || bound >= got.moves {
-				t.Errorf("offline bound: got %d moves, want some and less than %d", bound, got.moves)
+				t.Errorf("lower bound: got %d moves, want more than 0 and less than %d", bound, got.moves)
 			}
 		})
 	}
 }
 
-func TestLeastMoves(t *testing.T) {
+func TestMinMoves(t *testing.T) {
 	turns := func(queues ...int) []turn {
 		var out []turn
 		for i, queue := range queues {
-			begins := epoch.Add(time.Duration(i) * turnLength)
-			// With the patience, 24 hosts' load for 10 s asks for 20 hosts.
-			out = append(out, turn{queue: queue, begins: begins, ends: begins.Add(turnLength), load: 24})
+			start := epoch.Add(time.Duration(i) * turnLength)
+			// 24 hosts' load for 10 s, to be started within 12 s, needs 20 hosts.
+			out = append(out, turn{queue: queue, start: start, end: start.Add(turnLength), load: 24})
 		}
 		return out
 	}
@@ -88,7 +88,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := leastMoves(tc.turns); got != tc.want {
+			if got := minMoves(tc.turns); got != tc.want {
 				t.Errorf("got %d moves, want %d", got, tc.want)
 			}
 		})
@@ -97,29 +97,30 @@
 
 func TestFluidQueue(t *testing.T) {
 	q := &fluidQueue{}
-	q.arrive(epoch, 2)
+	q.enqueue(epoch, 2)
 	served, late := q.serve(epoch, 1.5)
 	if served != 1.5 || late != 0 {
 		t.Errorf("in time: got %v served, %v late, want 1.5 and 0", served, late)
 	}
-	now := epoch.Add(poolPatience + poolTick)
-	if got := q.overdue(now); got != 0.5 {
+	now := epoch.Add(poolMaxStartDelay + poolTick)
+	if got := q.overdueWork(now); got != 0.5 {
 		t.Errorf("got %v overdue, want 0.5", got)
 	}
 	if served, late = q.serve(now, 5); served != 0.5 || late != 0.5 {
-		t.Errorf("after the patience: got %v served, %v late, want 0.5 of both", served, late)
+		t.Errorf("after the maximum start delay: got %v served, %v late, want 0.5 of both", served, late)
 	}
 }
 
-// TestWaveTargets runs the waves with one seed: nothing is cut, no budget is
-// spent, and a bad image stops after the canaries. Baselines do fail there, so
-// that the bench is known to provoke it.
+// TestWaveTargets checks with one seed that a wave cuts no requests, spends no
+// budget, and fails fewer hosts with a bad image than a fixed fraction does. The
+// baseline has to cut requests, which shows that the simulation can produce the
+// fault.
 func TestWaveTargets(t *testing.T) {
 	cut := 0.0
 	values := func(b *waveBench) map[string]float64 {
 		out := map[string]float64{}
 		for _, v := range runWaves(b).values {
-			out[v.name] = v.got
+			out[v.name] = v.amount
 		}
 		return out
 	}
@@ -141,7 +142,7 @@
 		})
 	}
 	if cut == 0 {
-		t.Errorf("requests cut without confirmations: got none, want some")
+		t.Errorf("requests cut without confirmations: got none, want at least one")
 	}
 }
 
@@ -149,7 +150,7 @@
 	dir := t.TempDir()
 	report := Report{Rows: []Row{{Part: Pools, Deployment: "tanoa"}}}
 	if err := report.WritePlots(dir); err != nil {
-		t.Fatalf("writing plots: %v", err)
+		t.Fatalf("WritePlots: %v", err)
 	}
 	if files, err := os.ReadDir(dir); err != nil || len(files) != 2 {
 		t.Errorf("got %d plots, error %v, want 2", len(files), err)
--- a/internal/experiment/poolbench.go
+++ b/internal/experiment/poolbench.go
@@ -9,52 +9,52 @@
 	"github.com/lovagedyke/lovagedyke/internal/pool"
 )
 
-// Sizes of the pools' bench that the deployments have in common.
+// Parameters of the pool simulation that all deployments share.
 const (
-	poolTick         = 100 * time.Millisecond
-	poolStep         = 500 * time.Millisecond
-	poolRun          = 10 * time.Minute
-	turnLength       = 10 * time.Second
-	turnJitter       = 0.2 // of the turn's length, either way
-	levelJitter      = 0.1 // of the burst's load, either way
-	loadNoise        = 0.3 // standard deviation of a tick's load
-	meanPerHost      = 0.4 // mean load of a pool by host, so that bursts need twice the pool
-	burstOfMean      = 5.0
-	troughOfMean     = 0.05
-	observationLag   = time.Second
-	poolPatience     = 2 * time.Second // from arrival to the latest useful start
-	moveLeast        = 3 * time.Second
-	moveGreatest     = 5 * time.Second
-	moveNinetieth    = 4800 * time.Millisecond
-	hostsPerRack     = 4
-	spareHosts       = 10
-	minimumSurvivors = 2
-	sparePool        = "spare"
-	learningTime     = 2 * time.Minute // two rounds and a little more
-	rackLostAt       = 5 * time.Minute
-	rackBackAt       = 7 * time.Minute
+	poolTick          = 100 * time.Millisecond
+	poolStep          = 500 * time.Millisecond
+	poolRun           = 10 * time.Minute
+	turnLength        = 10 * time.Second
+	turnJitter        = 0.2 // relative to turnLength, either way
+	levelJitter       = 0.1 // relative to the burst's load, either way
+	loadNoise         = 0.3 // relative standard deviation of a tick's load
+	meanLoadPerHost   = 0.4 // bursts of five times the mean need twice the pool's hosts
+	burstFactor       = 5.0
+	troughFactor      = 0.05
+	observationLag    = time.Second
+	poolMaxStartDelay = 2 * time.Second // from arrival; work that starts later is late
+	minMoveTime       = 3 * time.Second
+	maxMoveTime       = 5 * time.Second
+	moveTimeP90       = 4800 * time.Millisecond
+	hostsPerRack      = 4
+	spareHosts        = 10
+	minimumSurvivors  = 2
+	sparePool         = "spare"
+	poolWarmUp        = 2 * time.Minute // a little more than two rounds of all queues
+	rackLostAt        = 5 * time.Minute
+	rackBackAt        = 7 * time.Minute
 )
 
-// queueHosts are the hosts of each queue's pool, about 50 in all.
+// queueHosts holds the number of hosts in each queue's pool, 50 in all.
 var queueHosts = []int{12, 11, 10, 9, 8}
 
-// poolScenario is how the queues' bursts come.
+// poolScenario describes the order of the queues' bursts and the failures.
 type poolScenario struct {
 	name string
-	// anyOrder draws the queue of each turn, so that nothing can be learnt.
+	// anyOrder draws each turn's queue at random, so that bursts are unpredictable.
 	anyOrder bool
 	loseRack bool
 }
 
-// turn is one queue's burst.
+// turn is the period in which one queue bursts.
 type turn struct {
-	queue        int
-	begins, ends time.Time
-	load         float64
+	queue      int
+	start, end time.Time
+	load       float64
 }
 
-// poolBench steps one policy over queues that burst in their turn. Work is a
-// fluid, which hosts of the queue's pool serve first come first served.
+// poolBench simulates one policy with queues that burst one after the other. Work
+// is divisible, and the hosts of a queue's pool perform it first in, first out.
 type poolBench struct {
 	now      time.Time
 	scenario poolScenario
@@ -66,24 +66,24 @@
 	measure  poolMeasure
 }
 
-// poolHost is a host and when its move ends.
+// poolHost is a host and the end of its current move.
 type poolHost struct {
 	pool.HostView
-	arrives time.Time
+	moveEnd time.Time
 }
 
-// poolMeasure is what one run gave.
+// poolMeasure holds the measurements of one run.
 type poolMeasure struct {
 	arrived, inBursts float64 // host-seconds
-	late              float64 // host-seconds that began after the patience
-	// What remains of both once two rounds were seen.
-	inBurstsLearnt, lateLearnt float64
-	idle, idleSpare            float64 // host-seconds outside the spare pool and in it
-	moves                      int
-	below                      int // moves that left a pool below its minimum
-	hostsByStep                [][]float64
-	movesEachTurn              []float64
-	movesBeforeTheTurn         int
+	late              float64 // host-seconds that started after poolMaxStartDelay
+	// The parts of inBursts and late that fall after poolWarmUp.
+	inBurstsAfterWarmUp, lateAfterWarmUp float64
+	idle, idleSpare                      float64 // host-seconds outside the spare pool and in it
+	moves                                int
+	belowMinimum                         int // moves that left a pool below its minimum
+	hostsByStep                          [][]float64
+	movesByTurn                          []float64
+	movesBeforeTurn                      int
 }
 
 func newPoolBench(scenario poolScenario, seed uint64) *poolBench {
@@ -91,7 +91,7 @@
 	for range queueHosts {
 		b.queues = append(b.queues, &fluidQueue{})
 	}
-	b.dealHosts()
+	b.assignHosts()
 	order := 0
 	for at := epoch; at.Before(epoch.Add(poolRun)); {
 		queue := order % len(queueHosts)
@@ -99,34 +99,34 @@
 		if scenario.anyOrder {
 			queue = b.random.IntN(len(queueHosts))
 		}
-		length := time.Duration(float64(turnLength) * b.around(turnJitter))
-		load := burstOfMean * meanLoad(queue) * b.around(levelJitter)
-		b.turns = append(b.turns, turn{queue: queue, begins: at, ends: at.Add(length), load: load})
+		length := time.Duration(float64(turnLength) * b.jitterFactor(turnJitter))
+		load := burstFactor * meanLoad(queue) * b.jitterFactor(levelJitter)
+		b.turns = append(b.turns, turn{queue: queue, start: at, end: at.Add(length), load: load})
 		at = at.Add(length)
 	}
 	return b
 }
 
-func (b *poolBench) around(jitter float64) float64 {
+func (b *poolBench) jitterFactor(jitter float64) float64 {
 	return 1 + jitter*(2*b.random.Float64()-1)
 }
 
-func meanLoad(queue int) float64 { return meanPerHost * float64(queueHosts[queue]) }
+func meanLoad(queue int) float64 { return meanLoadPerHost * float64(queueHosts[queue]) }
 
-// queueNames are the queues' pools, in the order of queueHosts.
+// queueNames holds the names of the queues' pools, in the order of queueHosts.
 var queueNames = []string{"queue-0", "queue-1", "queue-2", "queue-3", "queue-4"}
 
 func queueName(queue int) string { return queueNames[queue] }
 
-// dealHosts gives each pool its hosts from as many racks as there are.
-func (b *poolBench) dealHosts() {
+// assignHosts spreads the hosts of each pool over all racks.
+func (b *poolBench) assignHosts() {
 	total := spareHosts
 	for _, n := range queueHosts {
 		total += n
 	}
 	racks := total / hostsPerRack
 	next := 0
-	deal := func(name string, n int) {
+	assign := func(name string, n int) {
 		for range n {
 			rack := next % racks
 			b.hosts = append(b.hosts, &poolHost{HostView: pool.HostView{
@@ -137,43 +137,44 @@
 		}
 	}
 	for queue, n := range queueHosts {
-		deal(queueName(queue), n)
+		assign(queueName(queue), n)
 	}
-	deal(sparePool, spareHosts)
+	assign(sparePool, spareHosts)
 }
 
-// run steps the bench to its end.
+// run simulates the policy for poolRun.
 func (b *poolBench) run(policy poolPolicy) *poolMeasure {
 	turnIndex := 0
 	for step := 0; b.now.Before(epoch.Add(poolRun)); step++ {
-		for turnIndex+1 < len(b.turns) && !b.now.Before(b.turns[turnIndex].ends) {
+		for turnIndex+1 < len(b.turns) && !b.now.Before(b.turns[turnIndex].end) {
 			turnIndex++
 			b.endTurn()
 		}
-		b.failures()
+		b.injectRackFailure()
 		b.finishMoves()
-		b.arrive(b.turns[turnIndex])
+		b.addArrivals(b.turns[turnIndex])
 		b.serve()
 		if step%int(poolStep/poolTick) == 0 {
-			b.begin(policy.plan(b.now, b.view()))
-			b.snapshot()
+			b.startMoves(policy.plan(b.now, b.view()))
+			b.recordHosts()
 		}
 		b.now = b.now.Add(poolTick)
 	}
 	for _, q := range b.queues {
-		b.measure.late += q.overdue(b.now)
+		b.measure.late += q.overdueWork(b.now)
 	}
 	return &b.measure
 }
 
 func (b *poolBench) endTurn() {
 	m := &b.measure
-	m.movesEachTurn = append(m.movesEachTurn, float64(m.moves-m.movesBeforeTheTurn))
-	m.movesBeforeTheTurn = m.moves
+	m.movesByTurn = append(m.movesByTurn, float64(m.moves-m.movesBeforeTurn))
+	m.movesBeforeTurn = m.moves
 }
 
-// failures loses a rack for some time: the one of the first host.
-func (b *poolBench) failures() {
+// injectRackFailure takes the rack of the first host down from rackLostAt to
+// rackBackAt.
+func (b *poolBench) injectRackFailure() {
 	if !b.scenario.loseRack {
 		return
 	}
@@ -185,25 +186,25 @@
 
 func (b *poolBench) finishMoves() {
 	for _, h := range b.hosts {
-		if h.Target != "" && !b.now.Before(h.arrives) {
+		if h.Target != "" && !b.now.Before(h.moveEnd) {
 			h.Pool, h.Target = h.Target, ""
 		}
 	}
 }
 
-func (b *poolBench) arrive(now turn) {
+func (b *poolBench) addArrivals(current turn) {
 	for queue, q := range b.queues {
-		load := troughOfMean * meanLoad(queue)
-		if queue == now.queue {
-			load = now.load
+		load := troughFactor * meanLoad(queue)
+		if queue == current.queue {
+			load = current.load
 		}
 		work := max(0, load*(1+loadNoise*b.random.NormFloat64())) * poolTick.Seconds()
-		q.arrive(b.now, work)
+		q.enqueue(b.now, work)
 		b.measure.arrived += work
-		if queue == now.queue {
+		if queue == current.queue {
 			b.measure.inBursts += work
-			if b.learnt() {
-				b.measure.inBurstsLearnt += work
+			if b.isWarmedUp() {
+				b.measure.inBurstsAfterWarmUp += work
 			}
 		}
 	}
@@ -226,21 +227,21 @@
 		capacity := float64(serving[queue]) * poolTick.Seconds()
 		served, late := q.serve(b.now, capacity)
 		b.measure.late += late
-		if b.learnt() {
-			b.measure.lateLearnt += late
+		if b.isWarmedUp() {
+			b.measure.lateAfterWarmUp += late
 		}
 		b.measure.idle += capacity - served
 	}
 }
 
-// learnt reports whether two rounds are over.
-func (b *poolBench) learnt() bool { return b.now.Sub(epoch) >= learningTime }
+// isWarmedUp reports whether the planner has had time to observe two rounds.
+func (b *poolBench) isWarmedUp() bool { return b.now.Sub(epoch) >= poolWarmUp }
 
-// view is what a policy sees: hosts at once, loads with their lag.
+// view returns the policy's input: hosts without delay, loads with observationLag.
 func (b *poolBench) view() pool.View {
-	view := pool.View{Observed: b.now.Add(-observationLag), MoveTime: moveNinetieth}
+	view := pool.View{Observed: b.now.Add(-observationLag), MoveTime: moveTimeP90}
 	for queue, q := range b.queues {
-		load, backlog := q.observed(view.Observed)
+		load, backlog := q.observation(view.Observed)
 		view.Pools = append(view.Pools, pool.Observation{
 			Name: queueName(queue), Load: load, Backlog: backlog, Minimum: minimumSurvivors,
 		})
@@ -251,30 +252,31 @@
 	return view
 }
 
-// begin starts the moves and counts those that break a minimum.
-func (b *poolBench) begin(moves []pool.PlannedMove) {
+// startMoves starts the moves and counts those that leave a pool below its minimum.
+func (b *poolBench) startMoves(moves []pool.PlannedMove) {
 	for _, move := range moves {
 		for _, h := range b.hosts {
 			if h.Name == move.Host {
-				b.beginMove(h, move.To)
+				b.startMove(h, move.To)
 			}
 		}
 	}
 }
 
-func (b *poolBench) beginMove(h *poolHost, to string) {
+func (b *poolBench) startMove(h *poolHost, to string) {
 	if h.Target != "" || h.Pool == to {
-		panic("host " + h.Name + " is in two moves")
+		panic("host " + h.Name + " is already being moved or in its target pool")
 	}
-	took := moveLeast + time.Duration(b.random.Int64N(int64(moveGreatest-moveLeast)))
-	h.Target, h.arrives = to, b.now.Add(took)
+	took := minMoveTime + time.Duration(b.random.Int64N(int64(maxMoveTime-minMoveTime)))
+	h.Target, h.moveEnd = to, b.now.Add(took)
 	b.measure.moves++
 	if h.Pool != sparePool && b.survivors(h.Pool) < minimumSurvivors {
-		b.measure.below++
+		b.measure.belowMinimum++
 	}
 }
 
-// survivors is a pool's serving hosts without those of its largest rack.
+// survivors returns the number of hosts that serve a pool after the loss of its
+// largest rack.
 func (b *poolBench) survivors(name string) int {
 	racks, serving, largest := make(map[string]int), 0, 0
 	for _, h := range b.hosts {
@@ -287,8 +289,8 @@
 	return serving - largest
 }
 
-// snapshot keeps the hosts of each pool for the plot.
-func (b *poolBench) snapshot() {
+// recordHosts records the number of hosts in each pool for the plot.
+func (b *poolBench) recordHosts() {
 	row := make([]float64, len(b.queues)+2)
 	for _, h := range b.hosts {
 		row[poolIndex(h.HostView)]++
@@ -296,7 +298,8 @@
 	b.measure.hostsByStep = append(b.measure.hostsByStep, row)
 }
 
-// poolIndex counts the queues, then the spare pool, then hosts that move.
+// poolIndex returns a host's column in the plot: the queues come first, then the
+// spare pool, then hosts that are being moved.
 func poolIndex(h pool.HostView) int {
 	if h.Target != "" {
 		return len(queueHosts) + 1
--- a/internal/experiment/poolbound.go
+++ b/internal/experiment/poolbound.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// leastMoves is the number of moves without which a pool must be late, with
-// knowledge of all turns and moves that take no time. A turn's pool needs, at
-// some time, the hosts for its work over the turn and the patience; other pools
-// keep their minimum and one rack more. Taking hosts from the pool whose next
-// turn is furthest away is optimal, as in paging.
-func leastMoves(turns []turn) int {
+// minMoves returns a lower bound of the moves that any policy needs to start all
+// work in time: it knows all turns in advance, and its moves take no time. During
+// a turn, the bursting pool needs enough hosts to perform its work within the turn
+// and poolMaxStartDelay; every other pool keeps its minimum and one host more, for
+// the loss of a rack. Taking hosts from the pool whose next turn is furthest away
+// is optimal, as in Belady's page replacement algorithm.
+func minMoves(turns []turn) int {
 	hosts := slices.Clone(queueHosts)
 	hosts = append(hosts, spareHosts)
 	moves := 0
 	for i, t := range turns {
-		length := t.ends.Sub(t.begins)
-		need := int(math.Ceil(t.load * length.Seconds() / (length + poolPatience).Seconds()))
+		length := t.end.Sub(t.start)
+		need := int(math.Ceil(t.load * length.Seconds() / (length + poolMaxStartDelay).Seconds()))
 		for hosts[t.queue] < need {
-			from := furthest(hosts, turns[i+1:], t.queue)
+			from := chooseDonor(hosts, turns[i+1:], t.queue)
 			if from < 0 {
 				break
 			}
@@ -30,9 +31,9 @@
 	return moves
 }
 
-// furthest returns the pool, with a host to give, that bursts last; the spare
-// pool never does.
-func furthest(hosts []int, rest []turn, except int) int {
+// chooseDonor returns the spare pool if it has a host, or else the pool with a
+// host to give whose next burst is furthest away. It returns -1 if there is none.
+func chooseDonor(hosts []int, rest []turn, except int) int {
 	if hosts[len(hosts)-1] > 0 {
 		return len(hosts) - 1
 	}
@@ -52,15 +53,16 @@
 	return best
 }
 
-// leastIdle is the idle time outside the spare pool that the minimums ask for,
-// in host-seconds: what other pools keep beyond their load during each turn.
-func leastIdle(turns []turn) float64 {
+// minIdle returns the idle time outside the spare pool, in host-seconds, that the
+// pools' minimums make unavoidable: the hosts that the pools which don't burst keep
+// beyond their load.
+func minIdle(turns []turn) float64 {
 	sum := 0.0
 	for _, t := range turns {
 		for queue := range queueHosts {
 			if queue != t.queue {
-				spare := minimumSurvivors + 1 - troughOfMean*meanLoad(queue)
-				sum += spare * t.ends.Sub(t.begins).Seconds()
+				spare := minimumSurvivors + 1 - troughFactor*meanLoad(queue)
+				sum += spare * t.end.Sub(t.start).Seconds()
 			}
 		}
 	}
--- a/internal/experiment/poolplot.go
+++ b/internal/experiment/poolplot.go
@@ -9,12 +9,12 @@
 	"gonum.org/v1/plot/plotutil"
 )
 
-// plottedTurns is how many turns of the first run the plots of moves show.
+// plottedTurns is the number of turns that the plot of hosts shows.
 const plottedTurns = 20
 
-// writeMovePlots writes a PNG for each deployment whose pools were measured:
-// the hosts of each pool over time, and the moves of each turn beside those of
-// a threshold, in the first seed's run with turns in order.
+// writeMovePlots writes two PNGs for each deployment whose pools were measured, of
+// the first seed's run with turns in order: the hosts of each pool over time, and
+// the moves in each turn of the planner and of a threshold policy.
 func (r Report) writeMovePlots(dir string) error {
 	done := make(map[string]bool)
 	for _, row := range r.Rows {
@@ -22,7 +22,7 @@
 			continue
 		}
 		done[row.Deployment] = true
-		planner := runPools(poolScenarios[0], 1, newPlannerPolicy(measureWeights[row.Deployment]))
+		planner := runPools(poolScenarios[0], 1, newPlannerPolicy(deploymentWeights[row.Deployment]))
 		threshold := runPools(poolScenarios[0], 1, newThreshold(0.7, true))
 		if err := plotHosts(planner, row.Deployment, dir); err != nil {
 			return err
@@ -51,10 +51,10 @@
 		lines = append(lines, plotName(i), points)
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
-		return errors.Wrap(err, "plotting the hosts")
+		return errors.Wrap(err, "plot the hosts")
 	}
 	path := filepath.Join(dir, "pools-"+deployment+"-hosts.png")
-	return errors.Wrapf(p.Save(plotWidth, plotHeight, path), "writing %q", path)
+	return errors.Wrapf(p.Save(plotWidth, plotHeight, path), "write %q", path)
 }
 
 func plotName(i int) string {
@@ -76,12 +76,12 @@
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
 	err := plotutil.AddLines(p,
-		"planner", series(planner.movesEachTurn), "threshold 0.7", series(threshold.movesEachTurn))
+		"planner", series(planner.movesByTurn), "threshold 0.7", series(threshold.movesByTurn))
 	if err != nil {
-		return errors.Wrap(err, "plotting the moves")
+		return errors.Wrap(err, "plot the moves")
 	}
 	path := filepath.Join(dir, "pools-"+deployment+"-moves.png")
-	return errors.Wrapf(p.Save(plotWidth, plotHeight, path), "writing %q", path)
+	return errors.Wrapf(p.Save(plotWidth, plotHeight, path), "write %q", path)
 }
 
 func series(values []float64) plotter.XYs {
--- a/internal/experiment/poolpolicy.go
+++ b/internal/experiment/poolpolicy.go
@@ -7,50 +7,52 @@
 	"github.com/lovagedyke/lovagedyke/internal/pool"
 )
 
-// poolPolicy decides which moves to start.
+// poolPolicy decides which hosts to move between pools.
 type poolPolicy interface {
 	plan(now time.Time, view pool.View) []pool.PlannedMove
 }
 
-// measureWeights are the deployments' weights of the four measures.
-var measureWeights = map[string]pool.Weights{
+// deploymentWeights holds each deployment's weights of the four optimisation
+// targets.
+var deploymentWeights = map[string]pool.Weights{
 	"tanoa":    {BufferCost: 2, Moves: 2, ShareNearness: 0.5, RollOutTime: 0.5},
 	"ripustus": {BufferCost: 0.5, Moves: 0.5, ShareNearness: 2, RollOutTime: 2},
 }
 
-// plannerPolicy is the product's planner.
+// plannerPolicy is the pool.Planner of the manager.
 type plannerPolicy struct{ planner *pool.Planner }
 
 func newPlannerPolicy(weights pool.Weights) func(*poolBench) poolPolicy {
 	return func(*poolBench) poolPolicy {
 		return plannerPolicy{pool.NewPlanner(pool.PlannerConfig{
-			Spare: sparePool, Weights: weights, Lag: observationLag, MaxWait: poolPatience,
+			Spare: sparePool, Weights: weights, Lag: observationLag, MaxWait: poolMaxStartDelay,
 		})}
 	}
 }
 
-// newHeir is a planner with the memory of another, which saw other turns.
-func newHeir(weights pool.Weights) func(*poolBench) poolPolicy {
+// newPretrainedPlanner returns a planner that starts with the history of an earlier
+// run over other turns.
+func newPretrainedPlanner(weights pool.Weights) func(*poolBench) poolPolicy {
 	return func(b *poolBench) poolPolicy {
-		before := newPoolBench(b.scenario, b.seed+heirSeeds)
-		first := newPlannerPolicy(weights)(before).(plannerPolicy)
-		before.run(first)
+		priorBench := newPoolBench(b.scenario, b.seed+pretrainingSeedOffset)
+		prior := newPlannerPolicy(weights)(priorBench).(plannerPolicy)
+		priorBench.run(prior)
 		return plannerPolicy{pool.NewPlanner(pool.PlannerConfig{
-			Spare: sparePool, Weights: weights, Lag: observationLag, MaxWait: poolPatience,
-			History: first.planner.History(),
+			Spare: sparePool, Weights: weights, Lag: observationLag, MaxWait: poolMaxStartDelay,
+			History: prior.planner.History(),
 		})}
 	}
 }
 
-// heirSeeds keeps the turns of an heir's forerunner apart from all others.
-const heirSeeds = 1000
+// pretrainingSeedOffset keeps the seeds of pretraining runs apart from all others.
+const pretrainingSeedOffset = 1000
 
 func (p plannerPolicy) plan(now time.Time, view pool.View) []pool.PlannedMove {
 	return p.planner.Step(now, view).Moves
 }
 
-// fixedPools moves nothing. The spare hosts are dealt to the pools first, so
-// that the buffer is as large as that of the others.
+// fixedPools moves no hosts. The spare hosts are distributed over the pools at the
+// start, so that all policies have the same number of hosts.
 type fixedPools struct{}
 
 func newFixedPools(b *poolBench) poolPolicy {
@@ -66,9 +68,9 @@
 
 func (fixedPools) plan(time.Time, pool.View) []pool.PlannedMove { return nil }
 
-// threshold gives each pool the hosts that its load asks for now, without
-// hysteresis: from the spare pool, else from the pool with the most beyond its
-// own target. Eager thresholds give back at once what a pool does not need.
+// threshold gives each pool the hosts that its current load requires, without
+// hysteresis. They come from the spare pool, or else from the pool with the largest
+// surplus. An eager threshold returns surplus hosts to the spare pool at once.
 type threshold struct {
 	utilisation float64
 	eager       bool
@@ -90,24 +92,24 @@
 		}
 	}
 	for _, v := range view.Pools {
-		for p.eager && s.beyond(v.Name, p.target(v)) > 0 && keeps(s.serving[v.Name]) {
-			s.take(v.Name, sparePool)
+		for p.eager && s.surplus(v.Name, p.target(v)) > 0 && canDonate(s.serving[v.Name]) {
+			s.moveHost(v.Name, sparePool)
 		}
 	}
 	for _, v := range view.Pools {
-		for s.beyond(v.Name, p.target(v))+s.incoming[v.Name] < 0 {
+		for s.surplus(v.Name, p.target(v))+s.incoming[v.Name] < 0 {
 			from := p.donor(s, view)
 			if from == "" {
 				break
 			}
-			s.take(from, v.Name)
+			s.moveHost(from, v.Name)
 		}
 	}
 	return s.moves
 }
 
-// target is the number of hosts for the load: never less than the minimum and
-// what a rack holds of so small a pool.
+// target returns the number of hosts for the pool's load, and at least the minimum
+// and one host more: in so small a pool a rack holds one host, and may be lost.
 func (p threshold) target(v pool.Observation) int {
 	return max(int(math.Ceil(v.Load/p.utilisation)), v.Minimum+1)
 }
@@ -118,32 +120,33 @@
 	}
 	best, most := "", 0
 	for _, v := range view.Pools {
-		if n := s.beyond(v.Name, p.target(v)); n > most && keeps(s.serving[v.Name]) {
+		if n := s.surplus(v.Name, p.target(v)); n > most && canDonate(s.serving[v.Name]) {
 			best, most = v.Name, n
 		}
 	}
 	return best
 }
 
-// thresholdStep is the state of one step.
+// thresholdStep is the state of one planning step.
 type thresholdStep struct {
 	serving  map[string][]pool.HostView
 	incoming map[string]int
 	moves    []pool.PlannedMove
 }
 
-func (s *thresholdStep) beyond(name string, target int) int { return len(s.serving[name]) - target }
+func (s *thresholdStep) surplus(name string, target int) int { return len(s.serving[name]) - target }
 
-// take moves the pool's last host.
-func (s *thresholdStep) take(from, to string) {
+// moveHost plans a move of the last serving host of a pool.
+func (s *thresholdStep) moveHost(from, to string) {
 	last := len(s.serving[from]) - 1
 	s.moves = append(s.moves, pool.PlannedMove{Host: s.serving[from][last].Name, From: from, To: to})
 	s.serving[from] = s.serving[from][:last]
 	s.incoming[to]++
 }
 
-// keeps reports whether a pool may lose its last host.
-func keeps(hosts []pool.HostView) bool {
+// canDonate reports whether a pool keeps its minimum, even if it loses a rack,
+// after it has given up its last host.
+func canDonate(hosts []pool.HostView) bool {
 	racks, largest := make(map[string]int), 0
 	rest := hosts[:len(hosts)-1]
 	for _, h := range rest {
--- a/internal/experiment/pooltrials.go
+++ b/internal/experiment/pooltrials.go
@@ -10,40 +10,40 @@
 	{name: "a rack is lost", loseRack: true},
 }
 
-// poolPolicyNamed makes a policy for each run.
-type poolPolicyNamed struct {
+// namedPoolPolicy names a policy and creates it for a run.
+type namedPoolPolicy struct {
 	name string
 	make func(*poolBench) poolPolicy
 }
 
-// plannerPolicies are the planner with the deployment's weights, and with ever
-// larger weights of moves: its trade of moves for late work.
-func plannerPolicies(d Deployment) []poolPolicyNamed {
-	weights := measureWeights[d.Name]
-	policies := []poolPolicyNamed{{"planner", newPlannerPolicy(weights)}}
+// plannerPolicies returns the planner with the deployment's weights, followed by
+// variants with larger and larger weights of moves, which trade moves for late work.
+func plannerPolicies(d Deployment) []namedPoolPolicy {
+	weights := deploymentWeights[d.Name]
+	policies := []namedPoolPolicy{{"planner", newPlannerPolicy(weights)}}
 	for _, factor := range []float64{2, 4, 8, 16, 64} {
 		w := weights
 		w.Moves *= factor
-		policies = append(policies, poolPolicyNamed{fmt.Sprintf("planner, moves %g-fold", factor), newPlannerPolicy(w)})
+		policies = append(policies, namedPoolPolicy{fmt.Sprintf("planner, moves %g-fold", factor), newPlannerPolicy(w)})
 	}
 	return policies
 }
 
-func thresholdPolicies() []poolPolicyNamed {
-	var policies []poolPolicyNamed
+func thresholdPolicies() []namedPoolPolicy {
+	var policies []namedPoolPolicy
 	for _, u := range []float64{0.5, 0.7, 0.9} {
-		policies = append(policies, poolPolicyNamed{fmt.Sprintf("threshold %.2g", u), newThreshold(u, true)})
+		policies = append(policies, namedPoolPolicy{fmt.Sprintf("threshold %.2g", u), newThreshold(u, true)})
 	}
 	for _, u := range []float64{0.5, 0.7, 0.9} {
-		policies = append(policies, poolPolicyNamed{fmt.Sprintf("threshold %.2g, lazy", u), newThreshold(u, false)})
+		policies = append(policies, namedPoolPolicy{fmt.Sprintf("threshold %.2g, lazy", u), newThreshold(u, false)})
 	}
 	return policies
 }
 
 func poolTrials(d Deployment) []trial {
 	policies := append(plannerPolicies(d),
-		poolPolicyNamed{"planner with a memory", newHeir(measureWeights[d.Name])},
-		poolPolicyNamed{"fixed pools", newFixedPools})
+		namedPoolPolicy{"planner with a memory", newPretrainedPlanner(deploymentWeights[d.Name])},
+		namedPoolPolicy{"fixed pools", newFixedPools})
 	policies = append(policies, thresholdPolicies()...)
 	var trials, targets []trial
 	for _, scenario := range poolScenarios {
@@ -76,41 +76,42 @@
 	seconds := poolRun.Seconds()
 	return outcome{values: []value{
 		{"late work", "% of bursts", m.latePercent()},
-		{"late once learnt", "% of bursts", 100 * m.lateLearnt / m.inBurstsLearnt},
+		{"late once learnt", "% of bursts", 100 * m.lateAfterWarmUp / m.inBurstsAfterWarmUp},
 		{"moves", "a minute", float64(m.moves) / poolRun.Minutes()},
 		{"idle outside spare", "hosts", m.idle / seconds},
 		{"idle in spare", "hosts", m.idleSpare / seconds},
-		{"moves below minimum", "moves", float64(m.below)},
+		{"moves below minimum", "moves", float64(m.belowMinimum)},
 	}}
 }
 
-// poolBound is what knowledge of all turns would give: the pools together have
-// more hosts than all queues ever need, so that no work has to be late.
+// poolBound returns the bounds of a policy that knows all turns in advance. No work
+// has to be late, because the pools together have more hosts than all queues need.
 func poolBound(scenario poolScenario, seed uint64) []value {
 	b := newPoolBench(scenario, seed)
-	idle := leastIdle(b.turns) / poolRun.Seconds()
+	idle := minIdle(b.turns) / poolRun.Seconds()
 	busy := 0.0
 	for _, t := range b.turns {
-		busy += t.load * t.ends.Sub(t.begins).Seconds() / poolRun.Seconds()
+		busy += t.load * t.end.Sub(t.start).Seconds() / poolRun.Seconds()
 		for queue := range queueHosts {
 			if queue != t.queue {
-				busy += troughOfMean * meanLoad(queue) * t.ends.Sub(t.begins).Seconds() / poolRun.Seconds()
+				busy += troughFactor * meanLoad(queue) * t.end.Sub(t.start).Seconds() / poolRun.Seconds()
 			}
 		}
 	}
 	return []value{
 		{"late work", "% of bursts", 0},
 		{"late once learnt", "% of bursts", 0},
-		{"moves", "a minute", float64(leastMoves(b.turns)) / poolRun.Minutes()},
+		{"moves", "a minute", float64(minMoves(b.turns)) / poolRun.Minutes()},
 		{"idle outside spare", "hosts", idle},
 		{"idle in spare", "hosts", float64(len(b.hosts)) - idle - busy},
 		{"moves below minimum", "moves", 0},
 	}
 }
 
-// comparePools holds the planner against its targets: late work of fixed pools
-// over its own, and moves of each threshold over those of the planner that moves
-// least while it is no later. 0 means that no planner was as little late.
+// comparePools measures the planner against its targets: the late work of fixed
+// pools relative to the planner's, and the moves of each threshold relative to those
+// of the planner variant with the fewest moves and no more late work than that
+// threshold. 0 means that there is no such variant.
 func comparePools(d Deployment, scenario poolScenario, seed uint64) []value {
 	var planners []*poolMeasure
 	for _, policy := range plannerPolicies(d) {
--- a/internal/experiment/retrybench.go
+++ b/internal/experiment/retrybench.go
@@ -10,51 +10,51 @@
 )
 
 const (
-	retryRun       = 30 * time.Second
-	faultFrom      = 5 * time.Second
-	faultUntil     = 10 * time.Second
-	recoveredFrom  = 20 * time.Second
-	attemptTimeout = 8 // mean run times
-	markedFraction = 0.2
-	naiveAttempts  = 3
+	retryRun              = 30 * time.Second
+	faultFrom             = 5 * time.Second
+	faultUntil            = 10 * time.Second
+	recoveredFrom         = 20 * time.Second
+	attemptTimeoutFactor  = 8 // times the mean run time
+	notRepeatableFraction = 0.2
+	naiveAttempts         = 3
 )
 
-// retryPolicy decides on another attempt.
+// retryPolicy decides whether a failed attempt is retried.
 type retryPolicy interface {
-	fresh()
+	recordRequest()
 	allow(now time.Time, a retry.Attempt) bool
 }
 
-// budgetPolicy is the product's retry.Budget.
+// budgetPolicy is the retry.Budget of the manager.
 type budgetPolicy struct{ budget *retry.Budget }
 
-func (p budgetPolicy) fresh() { p.budget.RecordRequest() }
+func (p budgetPolicy) recordRequest() { p.budget.RecordRequest() }
 
 func (p budgetPolicy) allow(now time.Time, a retry.Attempt) bool {
 	return p.budget.Allow(now, a) == retry.Allowed
 }
 
-// naivePolicy tries each request up to a number of times.
+// naivePolicy allows a fixed number of attempts for each request.
 type naivePolicy struct{ attempts int }
 
-func (naivePolicy) fresh() {}
+func (naivePolicy) recordRequest() {}
 
 func (p naivePolicy) allow(now time.Time, a retry.Attempt) bool {
 	return a.Number < p.attempts && now.Before(a.Deadline)
 }
 
-// retryBench sends requests through the product's pickers, without schedulers,
-// so that the load which retries add reaches the endpoints.
+// retryBench simulates a service behind the route.Picker of the manager. There are
+// no schedulers, so that the load added by retries reaches the endpoints.
 type retryBench struct {
 	*engine
-	deployment Deployment
-	full       float64
-	fault      fault
-	random     *rand.Rand // of the load
-	choices    *rand.Rand
-	entries    []*retryEntry
-	endpoints  []*retryEndpoint
-	measure    retryMeasure
+	deployment   Deployment
+	utilisation  float64
+	fault        fault
+	loadRandom   *rand.Rand // for arrivals and run times
+	policyRandom *rand.Rand
+	entries      []*retryEntry
+	endpoints    []*retryEndpoint
+	measure      retryMeasure
 }
 
 type retryEntry struct {
@@ -70,34 +70,34 @@
 }
 
 type retryRequest struct {
-	entry    *retryEntry
-	arrived  time.Time
-	marked   bool
-	runTime  time.Duration
-	attempts int
-	runs     int
-	tried    []netip.AddrPort
+	entry         *retryEntry
+	arrived       time.Time
+	notRepeatable bool
+	runTime       time.Duration
+	attempts      int
+	executions    int
+	tried         []netip.AddrPort
 }
 
 type attempt struct {
-	request  *retryRequest
-	endpoint int
-	sent     time.Time
-	settled  bool // answered or timed out
+	request   *retryRequest
+	endpoint  int
+	sent      time.Time
+	completed bool // answered or timed out
 }
 
-// phase counts the requests that arrived in one part of the run.
-type phase struct{ fresh, attempts, answered int }
+// phase holds the counts for requests that arrived in one part of the run.
+type phase struct{ requests, attempts, answered int }
 
 type retryMeasure struct {
-	all, fault, recovered phase
-	marked, repeated      int
+	all, fault, recovered        phase
+	notRepeatable, executedTwice int
 }
 
-func newRetryBench(d Deployment, full float64, f fault, seed uint64, policy func() retryPolicy) *retryBench {
+func newRetryBench(d Deployment, utilisation float64, f fault, seed uint64, policy func() retryPolicy) *retryBench {
 	b := &retryBench{
-		engine: newEngine(), deployment: d, full: full, fault: f,
-		random: newRandom(seed), choices: newRandom(^seed),
+		engine: newEngine(), deployment: d, utilisation: utilisation, fault: f,
+		loadRandom: newRandom(seed), policyRandom: newRandom(^seed),
 	}
 	for i := range d.Endpoints {
 		b.endpoints = append(b.endpoints, &retryEndpoint{index: i})
@@ -113,15 +113,15 @@
 
 func (b *retryBench) run() outcome {
 	for _, e := range b.entries {
-		b.arrive(e)
-		b.every(time.Duration(b.choices.Int64N(int64(gossipInterval))), gossipInterval, func() { b.gossip(e) })
+		b.scheduleArrival(e)
+		b.every(time.Duration(b.policyRandom.Int64N(int64(gossipInterval))), gossipInterval, func() { b.gossip(e) })
 	}
 	b.runFor(retryRun + b.requestTimeout())
 	return b.measure.outcome()
 }
 
 func (b *retryBench) attemptTimeout() time.Duration {
-	return attemptTimeout * b.deployment.RunTime
+	return attemptTimeoutFactor * b.deployment.RunTime
 }
 
 func (b *retryBench) requestTimeout() time.Duration {
@@ -131,7 +131,7 @@
 func (b *retryBench) gossip(from *retryEntry) {
 	load := from.picker.Load(nil)
 	for _, to := range b.entries {
-		if to != from && b.choices.Float64() >= gossipLoss {
+		if to != from && b.policyRandom.Float64() >= gossipLoss {
 			b.after(b.deployment.delay(from.index, to.index), func() {
 				to.picker.SetPeerLoad(b.now, b.deployment.entry(from.index), load)
 			})
@@ -139,28 +139,28 @@
 	}
 }
 
-func (b *retryBench) arrive(e *retryEntry) {
-	rate := b.full * float64(b.deployment.slots()) / float64(b.deployment.Entries)
-	b.after(exponential(b.random, time.Duration(float64(b.deployment.RunTime)/rate)), func() {
+func (b *retryBench) scheduleArrival(e *retryEntry) {
+	rate := b.utilisation * float64(b.deployment.slots()) / float64(b.deployment.Entries)
+	b.after(exponential(b.loadRandom, time.Duration(float64(b.deployment.RunTime)/rate)), func() {
 		if b.elapsed() >= retryRun {
 			return
 		}
 		r := &retryRequest{
-			entry: e, arrived: b.now, runTime: b.deployment.runTime(b.random),
-			marked: b.random.Float64() < markedFraction,
+			entry: e, arrived: b.now, runTime: b.deployment.runTime(b.loadRandom),
+			notRepeatable: b.loadRandom.Float64() < notRepeatableFraction,
 		}
-		b.count(r, func(p *phase) { p.fresh++ })
-		if r.marked {
-			b.measure.marked++
+		b.updatePhases(r, func(p *phase) { p.requests++ })
+		if r.notRepeatable {
+			b.measure.notRepeatable++
 		}
-		e.policy.fresh()
+		e.policy.recordRequest()
 		b.attempt(r)
-		b.arrive(e)
+		b.scheduleArrival(e)
 	})
 }
 
-// count applies a change to the phases in which the request arrived.
-func (b *retryBench) count(r *retryRequest, change func(*phase)) {
+// updatePhases applies a change to the phases in which the request arrived.
+func (b *retryBench) updatePhases(r *retryRequest, change func(*phase)) {
 	change(&b.measure.all)
 	at := r.arrived.Sub(epoch)
 	if at >= faultFrom && at < faultUntil {
@@ -172,23 +172,23 @@
 }
 
 func (b *retryBench) attempt(r *retryRequest) {
-	addr, ok := r.entry.picker.Pick(b.now, b.choices, r.tried)
+	addr, ok := r.entry.picker.Pick(b.now, b.policyRandom, r.tried)
 	if !ok {
 		return
 	}
 	r.attempts++
 	r.tried = append(r.tried, addr)
-	b.count(r, func(p *phase) { p.attempts++ })
+	b.updatePhases(r, func(p *phase) { p.attempts++ })
 	a := &attempt{request: r, endpoint: int(addr.Port()) - firstPort, sent: b.now}
-	b.after(b.deployment.delay(r.entry.index, a.endpoint), func() { b.reach(b.endpoints[a.endpoint], a) })
-	b.after(b.attemptTimeout(), func() { b.settle(a, route.Failed) })
+	b.after(b.deployment.delay(r.entry.index, a.endpoint), func() { b.receive(b.endpoints[a.endpoint], a) })
+	b.after(b.attemptTimeout(), func() { b.complete(a, route.Failed) })
 }
 
-func (b *retryBench) reach(e *retryEndpoint, a *attempt) {
+func (b *retryBench) receive(e *retryEndpoint, a *attempt) {
 	_, fails := b.fault(e.index, b.elapsed())
 	switch {
 	case fails || len(e.queue) >= connectionsPerEndpoint:
-		b.after(failureTime, func() { b.answer(a, route.Failed) })
+		b.after(failureLatency, func() { b.answer(a, route.Failed) })
 	case e.busy >= slotsPerEndpoint:
 		e.queue = append(e.queue, a)
 	default:
@@ -196,12 +196,12 @@
 	}
 }
 
-// serve runs an attempt also when its entry has given it up.
+// serve runs an attempt even if it has already timed out at its entry.
 func (b *retryBench) serve(e *retryEndpoint, a *attempt) {
 	e.busy++
-	a.request.runs++
-	if a.request.marked && a.request.runs == 2 {
-		b.measure.repeated++
+	a.request.executions++
+	if a.request.notRepeatable && a.request.executions == 2 {
+		b.measure.executedTwice++
 	}
 	slowness, _ := b.fault(e.index, b.elapsed())
 	b.after(time.Duration(float64(a.request.runTime)*slowness), func() {
@@ -216,43 +216,43 @@
 }
 
 func (b *retryBench) answer(a *attempt, result route.Result) {
-	b.after(b.deployment.delay(a.endpoint, a.request.entry.index), func() { b.settle(a, result) })
+	b.after(b.deployment.delay(a.endpoint, a.request.entry.index), func() { b.complete(a, result) })
 }
 
-func (b *retryBench) settle(a *attempt, result route.Result) {
-	if a.settled {
+func (b *retryBench) complete(a *attempt, result route.Result) {
+	if a.completed {
 		return
 	}
-	a.settled = true
+	a.completed = true
 	r := a.request
 	r.entry.picker.Done(b.now, endpointAddress(a.endpoint), result, b.now.Sub(a.sent))
 	if result == route.Succeeded {
-		b.count(r, func(p *phase) { p.answered++ })
+		b.updatePhases(r, func(p *phase) { p.answered++ })
 		return
 	}
-	again := retry.Attempt{
-		Number: r.attempts, NotRepeatable: r.marked, Sent: true, Deadline: r.arrived.Add(b.requestTimeout()),
+	next := retry.Attempt{
+		Number: r.attempts, NotRepeatable: r.notRepeatable, Sent: true, Deadline: r.arrived.Add(b.requestTimeout()),
 	}
-	if r.entry.policy.allow(b.now, again) {
+	if r.entry.policy.allow(b.now, next) {
 		b.attempt(r)
 	}
 }
 
-func (p phase) multiplication() float64 {
-	return float64(p.attempts) / float64(max(1, p.fresh))
+func (p phase) loadFactor() float64 {
+	return float64(p.attempts) / float64(max(1, p.requests))
 }
 
 func (p phase) answeredPercent() float64 {
-	return 100 * float64(p.answered) / float64(max(1, p.fresh))
+	return 100 * float64(p.answered) / float64(max(1, p.requests))
 }
 
 func (m retryMeasure) outcome() outcome {
 	return outcome{values: []value{
-		{"load in the fault", "times", m.fault.multiplication()},
+		{"load in the fault", "times", m.fault.loadFactor()},
 		{"answered in the fault", "%", m.fault.answeredPercent()},
-		{"load 10 s later", "times", m.recovered.multiplication()},
+		{"load 10 s later", "times", m.recovered.loadFactor()},
 		{"answered 10 s later", "%", m.recovered.answeredPercent()},
 		{"answered", "%", m.all.answeredPercent()},
-		{"marked run twice", "%", 100 * float64(m.repeated) / float64(max(1, m.marked))},
+		{"marked run twice", "%", 100 * float64(m.executedTwice) / float64(max(1, m.notRepeatable))},
 	}}
 }
--- a/internal/experiment/retrytrials.go
+++ b/internal/experiment/retrytrials.go
@@ -6,10 +6,10 @@
 	"github.com/lovagedyke/lovagedyke/internal/retry"
 )
 
-const slowedService = 8 // times slower while the whole service is slow
+const serviceSlowdown = 8 // run time factor while all endpoints are slow
 
-// inFault limits a fault to a part of the run.
-func inFault(f fault) fault {
+// duringFault limits a fault to the time from faultFrom to faultUntil.
+func duringFault(f fault) fault {
 	return func(endpoint int, elapsed time.Duration) (float64, bool) {
 		if elapsed < faultFrom || elapsed >= faultUntil {
 			return noFault(endpoint, elapsed)
@@ -19,15 +19,15 @@
 }
 
 var retryScenarios = []struct {
-	name  string
-	full  float64
-	fault fault
+	name        string
+	utilisation float64
+	fault       fault
 }{
 	{"all fail for 5 s, 0.6 full", ordinaryLoad, func(int, time.Duration) (float64, bool) { return 1, true }},
 	{"one endpoint fails for 5 s, 0.6 full", ordinaryLoad, func(endpoint int, _ time.Duration) (float64, bool) {
 		return 1, endpoint == faultyEndpoint
 	}},
-	{"all slow for 5 s, 0.7 full", moderatelyHeavy, func(int, time.Duration) (float64, bool) { return slowedService, false }},
+	{"all slow for 5 s, 0.7 full", elevatedLoad, func(int, time.Duration) (float64, bool) { return serviceSlowdown, false }},
 }
 
 func retryTrials(d Deployment) []trial {
@@ -45,7 +45,7 @@
 			trials = append(trials, trial{
 				part: Retry, deployment: d.Name, scenario: scenario.name, policy: policy.name,
 				run: func(seed uint64) outcome {
-					return newRetryBench(d, scenario.full, inFault(scenario.fault), seed, policy.make).run()
+					return newRetryBench(d, scenario.utilisation, duringFault(scenario.fault), seed, policy.make).run()
 				},
 			})
 		}
--- a/internal/experiment/routebench.go
+++ b/internal/experiment/routebench.go
@@ -12,61 +12,62 @@
 )
 
 const (
-	routeWarmUp   = 3 * time.Second
-	routeMeasured = 12 * time.Second
-	failureTime   = 2 * time.Millisecond // an endpoint's that fails at once
-	firstPort     = 9000
-	singleTeam    = "team-0"
+	routeWarmUp    = 3 * time.Second
+	routeMeasured  = 12 * time.Second
+	failureLatency = 2 * time.Millisecond // of an endpoint that fails every request
+	firstPort      = 9000
+	singleTeam     = "team-0"
 )
 
-// fault says how an endpoint behaves at a time: how many times slower it is,
-// and whether it fails everything.
+// fault returns an endpoint's run time factor at a point in time, and whether it
+// fails every request.
 type fault func(endpoint int, elapsed time.Duration) (slowness float64, fails bool)
 
 func noFault(int, time.Duration) (float64, bool) { return 1, false }
 
-// routeScenario is a load for one service, and what is wrong with it.
+// routeScenario is a load for one service, and a fault of its endpoints.
 type routeScenario struct {
-	name  string
-	full  float64 // load as a fraction of all slots
-	skew  float64 // fraction that meets the first entry, 0 for an even load
-	fault fault
+	name        string
+	utilisation float64 // load as a fraction of all slots
+	skew        float64 // fraction that arrives at the first entry; 0 spreads the load evenly
+	fault       fault
 }
 
-// chooser picks endpoints at one entry. ok is false when the request must wait
-// at the entry until another is done.
+// chooser picks an endpoint for each request of one entry. If ok is false, the
+// request waits at the entry until another one is done.
 type chooser interface {
 	pick() (endpoint int, ok bool)
 	done(endpoint int, result route.Result, took time.Duration)
 }
 
-// routeBench is one service behind the product's schedulers: entries that
-// choose endpoints, and endpoints that queue what exceeds their slots.
+// routeBench simulates one service. Each entry has the share.Scheduler of the
+// manager and a chooser; endpoints queue the requests that exceed their slots.
 type routeBench struct {
 	*engine
-	deployment Deployment
-	scenario   routeScenario
-	random     *rand.Rand // of the load
-	choices    *rand.Rand // of gossip and choosers
-	entries    []*routeEntry
-	endpoints  []*fakeEndpoint
-	lastID     uint64
-	measure    routeMeasure
+	deployment   Deployment
+	scenario     routeScenario
+	loadRandom   *rand.Rand // for arrivals and run times
+	policyRandom *rand.Rand // for gossip and choosers
+	entries      []*routeEntry
+	endpoints    []*fakeEndpoint
+	lastID       uint64
+	measure      routeMeasure
 }
 
-// routeMeasure counts after the warm-up.
+// routeMeasure holds the measurements after the warm-up.
 type routeMeasure struct {
-	sent, beyond, remote, failed, ended int
-	added                               *hdrhistogram.Histogram
+	sent, overCapacity, remote, failed, ended int
+	addedLatency                              *hdrhistogram.Histogram
 }
 
-// routeEntry is one entry: scheduler, chooser and what waits between them.
+// routeEntry is one entry with its scheduler and chooser. Queued requests wait for
+// the scheduler, and unplaced ones were started but have no endpoint yet.
 type routeEntry struct {
 	index     int
 	scheduler *share.Scheduler
 	chooser   chooser
-	held      []*routeRequest
-	waiting   map[uint64]*routeRequest
+	unplaced  []*routeRequest
+	queued    map[uint64]*routeRequest
 }
 
 type routeRequest struct {
@@ -78,7 +79,7 @@
 	runTime  time.Duration
 }
 
-// fakeEndpoint serves as many requests as it has slots, in order of arrival.
+// fakeEndpoint serves up to slotsPerEndpoint requests at a time, in order of arrival.
 type fakeEndpoint struct {
 	index int
 	busy  int
@@ -88,16 +89,16 @@
 func newRouteBench(d Deployment, scenario routeScenario, seed uint64) *routeBench {
 	b := &routeBench{
 		engine: newEngine(), deployment: d, scenario: scenario,
-		random: newRandom(seed), choices: newRandom(^seed),
-		measure: routeMeasure{added: newHistogram()},
+		loadRandom: newRandom(seed), policyRandom: newRandom(^seed),
+		measure: routeMeasure{addedLatency: newHistogram()},
 	}
 	for i := range d.Endpoints {
 		b.endpoints = append(b.endpoints, &fakeEndpoint{index: i})
 	}
 	for i := range d.Entries {
 		b.entries = append(b.entries, &routeEntry{
-			index:   i,
-			waiting: map[uint64]*routeRequest{},
+			index:  i,
+			queued: map[uint64]*routeRequest{},
 			scheduler: share.New(share.Config{
 				Entry: d.entry(i), Capacity: d.slots(), ExpectedDuration: d.RunTime,
 			}),
@@ -109,8 +110,8 @@
 func (b *routeBench) run(choose func(*routeBench, *routeEntry) chooser) outcome {
 	for _, e := range b.entries {
 		e.chooser = choose(b, e)
-		b.arrive(e)
-		b.every(time.Duration(b.choices.Int64N(int64(gossipInterval))), gossipInterval, func() { b.gossip(e) })
+		b.scheduleArrival(e)
+		b.every(time.Duration(b.policyRandom.Int64N(int64(gossipInterval))), gossipInterval, func() { b.gossip(e) })
 		b.every(tickInterval, tickInterval, func() { b.tick(e) })
 	}
 	b.runFor(routeWarmUp + routeMeasured)
@@ -128,38 +129,38 @@
 	return (1 - b.scenario.skew) / (n - 1)
 }
 
-func (b *routeBench) arrive(e *routeEntry) {
-	slots := b.scenario.full * float64(b.deployment.slots()) * b.fraction(e.index)
+func (b *routeBench) scheduleArrival(e *routeEntry) {
+	slots := b.scenario.utilisation * float64(b.deployment.slots()) * b.fraction(e.index)
 	mean := time.Duration(float64(b.deployment.RunTime) / slots)
-	b.after(exponential(b.random, mean), func() {
+	b.after(exponential(b.loadRandom, mean), func() {
 		b.submit(e)
-		b.arrive(e)
+		b.scheduleArrival(e)
 	})
 }
 
 func (b *routeBench) submit(e *routeEntry) {
 	b.lastID++
-	r := &routeRequest{id: b.lastID, entry: e, arrived: b.now, runTime: b.deployment.runTime(b.random)}
+	r := &routeRequest{id: b.lastID, entry: e, arrived: b.now, runTime: b.deployment.runTime(b.loadRandom)}
 	out := e.scheduler.Submit(b.now, share.Ticket{
-		ID: r.id, Team: singleTeam, Class: share.Normal, Deadline: b.now.Add(patience),
+		ID: r.id, Team: singleTeam, Class: share.Normal, Deadline: b.now.Add(maxStartDelay),
 	})
 	switch out.Decision {
 	case share.Start:
 		b.send(r)
 	case share.Queued:
-		e.waiting[r.id] = r
+		e.queued[r.id] = r
 	case share.Refused:
 	}
 }
 
 func (b *routeBench) apply(e *routeEntry, acts share.Actions) {
 	for _, id := range acts.Start {
-		r := e.waiting[id]
-		delete(e.waiting, id)
+		r := e.queued[id]
+		delete(e.queued, id)
 		b.send(r)
 	}
 	for _, refusal := range acts.Refuse {
-		delete(e.waiting, refusal.ID)
+		delete(e.queued, refusal.ID)
 	}
 }
 
@@ -178,7 +179,7 @@
 		load = sender.picker.Load(nil)
 	}
 	for _, to := range b.entries {
-		if to == from || b.choices.Float64() < gossipLoss {
+		if to == from || b.policyRandom.Float64() < gossipLoss {
 			continue
 		}
 		b.after(b.deployment.delay(from.index, to.index), func() {
@@ -193,7 +194,7 @@
 func (b *routeBench) send(r *routeRequest) {
 	endpoint, ok := r.entry.chooser.pick()
 	if !ok {
-		r.entry.held = append(r.entry.held, r)
+		r.entry.unplaced = append(r.entry.unplaced, r)
 		return
 	}
 	r.endpoint, r.sent = endpoint, b.now
@@ -203,17 +204,17 @@
 			b.measure.remote++
 		}
 	}
-	b.after(b.deployment.delay(r.entry.index, endpoint), func() { b.reach(b.endpoints[endpoint], r) })
+	b.after(b.deployment.delay(r.entry.index, endpoint), func() { b.receive(b.endpoints[endpoint], r) })
 }
 
-func (b *routeBench) reach(e *fakeEndpoint, r *routeRequest) {
+func (b *routeBench) receive(e *fakeEndpoint, r *routeRequest) {
 	if _, fails := b.scenario.fault(e.index, b.elapsed()); fails {
-		b.after(failureTime, func() { b.answer(r, route.Failed) })
+		b.after(failureLatency, func() { b.answer(r, route.Failed) })
 		return
 	}
 	if e.busy >= slotsPerEndpoint {
 		if b.elapsed() > routeWarmUp {
-			b.measure.beyond++
+			b.measure.overCapacity++
 		}
 		e.queue = append(e.queue, r)
 		return
@@ -238,17 +239,17 @@
 func (b *routeBench) answer(r *routeRequest, result route.Result) {
 	b.after(b.deployment.delay(r.endpoint, r.entry.index), func() {
 		r.entry.chooser.done(r.endpoint, result, b.now.Sub(r.sent))
-		b.count(r, result)
-		held := r.entry.held
-		r.entry.held = nil
-		for _, other := range held {
+		b.recordResult(r, result)
+		unplaced := r.entry.unplaced
+		r.entry.unplaced = nil
+		for _, other := range unplaced {
 			b.send(other)
 		}
 		b.apply(r.entry, r.entry.scheduler.Finish(b.now, r.id))
 	})
 }
 
-func (b *routeBench) count(r *routeRequest, result route.Result) {
+func (b *routeBench) recordResult(r *routeRequest, result route.Result) {
 	if r.arrived.Sub(epoch) <= routeWarmUp {
 		return
 	}
@@ -257,15 +258,15 @@
 		b.measure.failed++
 		return
 	}
-	record(b.measure.added, b.now.Sub(r.arrived)-r.runTime)
+	record(b.measure.addedLatency, b.now.Sub(r.arrived)-r.runTime)
 }
 
 func (m routeMeasure) outcome() outcome {
 	sent, ended := float64(max(1, m.sent)), float64(max(1, m.ended))
 	return outcome{values: []value{
-		{"beyond slots", "%", 100 * float64(m.beyond) / sent},
-		{"added latency p50", "ms", quantile(m.added, 50)},
-		{"added latency p99", "ms", quantile(m.added, 99)},
+		{"beyond slots", "%", 100 * float64(m.overCapacity) / sent},
+		{"added latency p50", "ms", quantile(m.addedLatency, 50)},
+		{"added latency p99", "ms", quantile(m.addedLatency, 99)},
 		{"failed", "%", 100 * float64(m.failed) / ended},
 		{"remote", "%", 100 * float64(m.remote) / sent},
 		{"answered", "1/s", float64(m.ended-m.failed) / routeMeasured.Seconds()},
--- a/internal/experiment/routetrials.go
+++ b/internal/experiment/routetrials.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	slowEndpoint    = 10              // times slower
-	coldEndpoint    = 4               // times slower just after its return
-	coldTime        = 3 * time.Second // until it is warm
-	downFrom        = 4 * time.Second
-	downUntil       = 8 * time.Second
-	skewedFraction  = 0.5 // of the load meets one entry
-	ordinaryLoad    = 0.6
-	faultyEndpoint  = 0
-	heavyLoad       = 0.85
-	overload        = 1.3
-	moderatelyHeavy = 0.7
+	slowFactor     = 10              // run time factor of a slow endpoint
+	coldFactor     = 4               // run time factor just after a restart
+	coldDuration   = 3 * time.Second // after the restart
+	downFrom       = 4 * time.Second
+	downUntil      = 8 * time.Second
+	skewedFraction = 0.5 // of the load arrives at one entry
+	ordinaryLoad   = 0.6
+	faultyEndpoint = 0
+	heavyLoad      = 0.85
+	overload       = 1.3
+	elevatedLoad   = 0.7
 )
 
 var routeScenarios = []routeScenario{
-	{"even, 0.7 full", moderatelyHeavy, 0, noFault},
+	{"even, 0.7 full", elevatedLoad, 0, noFault},
 	{"skewed, 0.85 full", heavyLoad, skewedFraction, noFault},
 	{"skewed, 1.3 times full", overload, skewedFraction, noFault},
 	{"one endpoint slow, 0.6 full", ordinaryLoad, 0, func(endpoint int, _ time.Duration) (float64, bool) {
 		if endpoint == faultyEndpoint {
-			return slowEndpoint, false
+			return slowFactor, false
 		}
 		return 1, false
 	}},
@@ -37,8 +37,8 @@
 		if endpoint != faultyEndpoint || elapsed < downFrom {
 			return 1, false
 		}
-		if elapsed < downUntil+coldTime {
-			return coldEndpoint, elapsed < downUntil
+		if elapsed < downUntil+coldDuration {
+			return coldFactor, elapsed < downUntil
 		}
 		return 1, false
 	}},
@@ -53,8 +53,8 @@
 		{"same, peers at full weight", newPicker(route.Config{PeerWeight: 1})},
 		{"same, no data centre preference", newPicker(route.Config{RemotePenalty: -1})},
 		{"same, best of two", newPicker(route.Config{Choices: 2})},
-		{"permits per endpoint", newEvenPermits},
-		{"home entry per endpoint", newHomePermits},
+		{"permits per endpoint", newInterleavedPermits},
+		{"home entry per endpoint", newContiguousPermits},
 		{"least local in flight", newLeastLocal},
 		{"round robin", newRoundRobin},
 		{"random", newRandomChoice},
--- a/internal/experiment/share.go
+++ b/internal/experiment/share.go
@@ -18,85 +18,87 @@
 	maxLatency    = 10 * time.Minute
 )
 
-// load is what one team asks for in one class: slots at the mean run time, and
-// how it is spread over the entries.
-type load struct {
+// teamLoad is the load of one team in one class.
+type teamLoad struct {
 	team  int
 	class share.Class
+	// slots is the mean number of slots that the load needs.
 	slots float64
-	// entries gives the fraction of the load at each entry, at a given time.
-	entries func(entry int, elapsed time.Duration) float64
+	// entryFraction returns the fraction of the load that arrives at an entry at a
+	// given time.
+	entryFraction func(entry int, elapsed time.Duration) float64
 }
 
-// request is one request of the load.
-type request struct {
+// shareRequest is one simulated request.
+type shareRequest struct {
 	id      uint64
 	flow    int
 	entry   int
 	arrived time.Time
-	repeat  bool      // comes back after a refusal
+	isRetry bool      // sent again after a refusal
 	started time.Time // by the policy; it may still wait for a slot
 	runTime time.Duration
 	ticket  share.Ticket
 }
 
-// sharePolicy decides when requests go to the endpoints. Started and refused
-// requests are reported through the bench.
+// sharePolicy decides when requests go to the endpoints. It calls shareBench.start
+// and shareBench.refuse for the requests that it starts and refuses.
 type sharePolicy interface {
-	submit(r *request)
-	finish(r *request)
+	submit(r *shareRequest)
+	finish(r *shareRequest)
 	tick()
 }
 
-// shareBench is one service in virtual time: slots that serve requests in the
-// order in which a policy starts them, and the measures.
+// shareBench simulates one service, whose slots serve requests in the order in
+// which a policy starts them, and measures the result.
 type shareBench struct {
 	*engine
-	deployment Deployment
-	random     *rand.Rand // of the load, the same under each policy
-	delays     *rand.Rand // of the gossip
-	loads      []load
-	saturated  []bool
-	policy     sharePolicy
-	requests   map[uint64]*request
-	lastID     uint64
-
-	busy    int
-	pending []*request // started beyond the slots
-	running []int      // by flow
-	wanted  []int      // by flow: would run if each had started on arrival
-	waiting int        // held back by the policy
-	measure *shareMeasure
-
-	// rate thins the arrivals by the time, comeBack gives the time until a
-	// refused request comes back once; nil is a steady load, and never.
-	rate     func(elapsed time.Duration) float64
-	comeBack func(retryAfter time.Duration) time.Duration
+	deployment   Deployment
+	loadRandom   *rand.Rand // for arrivals and run times, which are the same for each policy
+	gossipRandom *rand.Rand // for gossip delays and loss
+	loads        []teamLoad
+	saturated    []bool
+	policy       sharePolicy
+	requests     map[uint64]*shareRequest
+	lastID       uint64
+
+	busy          int
+	overflow      []*shareRequest // started while all slots were busy
+	running       []int           // by flow
+	unconstrained []int           // by flow: would be running if each had started on arrival
+	waiting       int             // queued by the policy
+	measure       *shareMeasure
+
+	// arrivalRate is a time-dependent factor of the arrival rate, from 0 to 1; nil
+	// means a steady load. retryDelay returns the time until a refused request is
+	// retried, once; nil means no retries.
+	arrivalRate func(elapsed time.Duration) float64
+	retryDelay  func(retryAfter time.Duration) time.Duration
 }
 
-func newShareBench(d Deployment, loads []load, seed uint64) *shareBench {
+func newShareBench(d Deployment, loads []teamLoad, seed uint64) *shareBench {
 	b := &shareBench{
-		engine:     newEngine(),
-		deployment: d,
-		random:     newRandom(seed),
-		delays:     newRandom(^seed),
-		loads:      loads,
-		requests:   map[uint64]*request{},
-		running:    make([]int, len(loads)),
-		wanted:     make([]int, len(loads)),
-		measure:    newShareMeasure(len(loads)),
+		engine:        newEngine(),
+		deployment:    d,
+		loadRandom:    newRandom(seed),
+		gossipRandom:  newRandom(^seed),
+		loads:         loads,
+		requests:      map[uint64]*shareRequest{},
+		running:       make([]int, len(loads)),
+		unconstrained: make([]int, len(loads)),
+		measure:       newShareMeasure(len(loads)),
 	}
-	claims := b.claims(func(i int) float64 { return loads[i].slots })
-	for i, part := range maxMinBound(float64(d.slots()), claims) {
-		b.saturated = append(b.saturated, part < loads[i].slots*0.999)
+	demands := b.flowDemands(func(i int) float64 { return loads[i].slots })
+	for i, slots := range maxMinBound(float64(d.slots()), demands) {
+		b.saturated = append(b.saturated, slots < loads[i].slots*0.999)
 	}
 	return b
 }
 
-func (b *shareBench) claims(demand func(flow int) float64) []claim {
-	out := make([]claim, len(b.loads))
+func (b *shareBench) flowDemands(demand func(flow int) float64) []flowDemand {
+	out := make([]flowDemand, len(b.loads))
 	for i, l := range b.loads {
-		out[i] = claim{class: l.class, weight: b.deployment.Weights[l.team], demand: demand(i)}
+		out[i] = flowDemand{class: l.class, weight: b.deployment.Weights[l.team], demand: demand(i)}
 	}
 	return out
 }
@@ -104,7 +106,7 @@
 func (b *shareBench) run(policy sharePolicy) *shareMeasure {
 	b.policy = policy
 	for flow := range b.loads {
-		b.arrive(flow)
+		b.scheduleArrival(flow)
 	}
 	b.every(tickInterval, tickInterval, policy.tick)
 	b.every(shareWarmUp, sampleInterval, b.sample)
@@ -112,94 +114,94 @@
 	return b.measure
 }
 
-// arrive plans the next request of a flow: a Poisson process, each request at
-// an entry drawn by the flow's fractions at that time.
-func (b *shareBench) arrive(flow int) {
+// scheduleArrival schedules the next request of a flow. Arrivals are a Poisson
+// process; the entry is drawn according to entryFraction.
+func (b *shareBench) scheduleArrival(flow int) {
 	l := b.loads[flow]
 	mean := time.Duration(b.deployment.RunTime.Seconds() / l.slots * float64(time.Second))
-	b.after(exponential(b.random, mean), func() {
-		if b.rate == nil || b.random.Float64() < b.rate(b.elapsed()) {
+	b.after(exponential(b.loadRandom, mean), func() {
+		if b.arrivalRate == nil || b.loadRandom.Float64() < b.arrivalRate(b.elapsed()) {
 			b.submit(flow, b.drawEntry(l), false)
 		}
-		b.arrive(flow)
+		b.scheduleArrival(flow)
 	})
 }
 
-func (b *shareBench) drawEntry(l load) int {
-	rest := b.random.Float64()
+func (b *shareBench) drawEntry(l teamLoad) int {
+	rest := b.loadRandom.Float64()
 	for entry := range b.deployment.Entries - 1 {
-		if rest -= l.entries(entry, b.elapsed()); rest < 0 {
+		if rest -= l.entryFraction(entry, b.elapsed()); rest < 0 {
 			return entry
 		}
 	}
 	return b.deployment.Entries - 1
 }
 
-func (b *shareBench) submit(flow, entry int, repeat bool) {
+func (b *shareBench) submit(flow, entry int, isRetry bool) {
 	b.lastID++
 	l := b.loads[flow]
-	r := &request{id: b.lastID, flow: flow, entry: entry, arrived: b.now, repeat: repeat}
+	r := &shareRequest{id: b.lastID, flow: flow, entry: entry, arrived: b.now, isRetry: isRetry}
 	r.ticket = share.Ticket{
-		ID: r.id, Team: b.deployment.team(l.team), Class: l.class, Deadline: b.now.Add(patience),
+		ID: r.id, Team: b.deployment.team(l.team), Class: l.class, Deadline: b.now.Add(maxStartDelay),
 	}
 	b.requests[r.id] = r
-	r.runTime = b.deployment.runTime(b.random)
-	b.wanted[flow]++
-	b.after(r.runTime, func() { b.wanted[flow]-- })
+	r.runTime = b.deployment.runTime(b.loadRandom)
+	b.unconstrained[flow]++
+	b.after(r.runTime, func() { b.unconstrained[flow]-- })
 	b.waiting++
 	b.policy.submit(r)
 }
 
-// start hands a request to the endpoints; beyond the slots it waits there.
-func (b *shareBench) start(r *request) {
+// start sends a request to the endpoints, where it waits if all slots are busy.
+func (b *shareBench) start(r *shareRequest) {
 	b.waiting--
 	r.started = b.now
 	b.measure.starts++
-	if r.repeat {
-		b.measure.repeatsStarted++
+	if r.isRetry {
+		b.measure.retriesStarted++
 	}
 	if b.busy >= b.deployment.slots() {
 		b.measure.overloads++
-		b.pending = append(b.pending, r)
+		b.overflow = append(b.overflow, r)
 		return
 	}
 	b.serve(r)
 }
 
-func (b *shareBench) serve(r *request) {
+func (b *shareBench) serve(r *shareRequest) {
 	b.busy++
 	b.running[r.flow]++
 	if b.elapsed() > shareWarmUp {
-		b.measure.waited(b.loads[r.flow].class, b.saturated[r.flow], b.now.Sub(r.arrived))
+		b.measure.recordWait(b.loads[r.flow].class, b.saturated[r.flow], b.now.Sub(r.arrived))
 		record(b.measure.waits[waitForSlot], b.now.Sub(r.started))
 	}
 	b.after(r.runTime, func() {
 		b.busy--
 		b.running[r.flow]--
 		delete(b.requests, r.id)
-		if len(b.pending) > 0 {
-			next := b.pending[0]
-			b.pending = b.pending[1:]
+		if len(b.overflow) > 0 {
+			next := b.overflow[0]
+			b.overflow = b.overflow[1:]
 			b.serve(next)
 		}
 		b.policy.finish(r)
 	})
 }
 
-func (b *shareBench) refuse(r *request, retryAfter time.Duration) {
+func (b *shareBench) refuse(r *shareRequest, retryAfter time.Duration) {
 	b.waiting--
 	b.measure.refused++
 	delete(b.requests, r.id)
-	if b.comeBack == nil || r.repeat {
+	if b.retryDelay == nil || r.isRetry {
 		return
 	}
-	b.after(b.comeBack(retryAfter), func() {
-		b.measure.repeats++
+	b.after(b.retryDelay(retryAfter), func() {
+		b.measure.retries++
 		b.submit(r.flow, r.entry, true)
 	})
 }
 
-// apply carries out a scheduler's actions.
+// apply executes a scheduler's actions.
 func (b *shareBench) apply(acts share.Actions) {
 	for _, id := range acts.Start {
 		b.start(b.requests[id])
@@ -209,15 +211,16 @@
 	}
 }
 
-// sample compares what runs with the bound, which depends on the load alone: a
-// flow that asks for more than its part counts with unlimited demand, another
-// with what would run if each request had started on arrival.
+// sample compares the slots in use with the max-min bound, which depends only on
+// the load. A saturated flow (one whose load exceeds its allocation) counts with
+// unlimited demand, any other with the requests that would be running if each had
+// started on arrival.
 func (b *shareBench) sample() {
-	bound := maxMinBound(float64(b.deployment.slots()), b.claims(func(i int) float64 {
+	bound := maxMinBound(float64(b.deployment.slots()), b.flowDemands(func(i int) float64 {
 		if b.saturated[i] {
 			return math.Inf(1)
 		}
-		return float64(b.wanted[i])
+		return float64(b.unconstrained[i])
 	}))
 	b.measure.sample(b.running, bound)
 	idle := min(b.deployment.slots()-b.busy, b.waiting)
@@ -226,18 +229,18 @@
 
 const sampleInterval = 10 * time.Millisecond
 
-// shareMeasure collects the measures of one run.
+// shareMeasure collects the measurements of one run.
 type shareMeasure struct {
 	short, long    window
-	curve          [][]float64 // by short window: used over bound, by flow
+	curve          [][]float64 // by short window, then by flow: slots in use relative to the bound
 	samples        int
 	idle           float64
 	starts         int
 	overloads      int
 	refused        int
-	repeats        int
-	repeatsStarted int
-	used           []float64 // slot samples over the run, by flow
+	retries        int
+	retriesStarted int
+	used           []float64 // by flow: sum of all samples of slots in use
 	bound          []float64
 	waits          map[string]*hdrhistogram.Histogram
 }
@@ -256,8 +259,8 @@
 	return m
 }
 
-// Kinds of wait: urgent work, teams within their share, teams beyond it, and
-// the wait at the endpoints of requests that were started.
+// Kinds of wait: of urgent requests, of flows within their share, of flows beyond
+// their share, and of started requests for a slot at an endpoint.
 const (
 	waitUrgent  = "urgent"
 	waitWithin  = "within-share"
@@ -265,7 +268,7 @@
 	waitForSlot = "for-slot"
 )
 
-func (m *shareMeasure) waited(class share.Class, saturated bool, wait time.Duration) {
+func (m *shareMeasure) recordWait(class share.Class, saturated bool, wait time.Duration) {
 	switch {
 	case class == share.Urgent:
 		record(m.waits[waitUrgent], wait)
@@ -288,24 +291,25 @@
 	m.long.add(running, bound)
 }
 
-// minBound is the mean slots below which a flow's deviation is not counted: a
-// relative deviation from nothing says nothing.
+// minBound is the mean number of slots below which a flow's deviation is ignored:
+// relative to a bound near zero it is meaningless.
 const minBound = 0.1
 
-// window compares use and bound over consecutive windows.
+// window compares the slots in use with the bound over consecutive windows.
 type window struct {
-	length  int // samples
-	count   int
-	used    []float64
-	bound   []float64
-	largest float64 // relative deviation
+	length       int // in samples
+	count        int
+	used         []float64
+	bound        []float64
+	maxDeviation float64 // relative to the bound
 }
 
 func newWindow(flows, length int) window {
 	return window{length: length, used: make([]float64, flows), bound: make([]float64, flows)}
 }
 
-// add returns each flow's use relative to its bound when a window is full.
+// add adds a sample. When the window is full, it returns each flow's slots in use
+// relative to the bound; otherwise it returns nil.
 func (w *window) add(running []int, bound []float64) []float64 {
 	for i := range running {
 		w.used[i] += float64(running[i])
@@ -320,7 +324,7 @@
 		if w.bound[i] >= minBound*float64(w.length) {
 			ratios[i] = w.used[i] / w.bound[i]
 		}
-		w.largest = max(w.largest, math.Abs(ratios[i]-1))
+		w.maxDeviation = max(w.maxDeviation, math.Abs(ratios[i]-1))
 	}
 	clear(w.used)
 	clear(w.bound)
@@ -333,7 +337,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Out of range can't happen: no run lasts as long as maxLatency.
+	// The value is always in range, because no run lasts as long as maxLatency.
 	_ = h.RecordValue(max(1, d.Microseconds()))
 }
 
--- a/internal/experiment/sharepolicy.go
+++ b/internal/experiment/sharepolicy.go
@@ -8,18 +8,18 @@
 	"github.com/lovagedyke/lovagedyke/internal/share"
 )
 
-// schedulers runs one share.Scheduler for each entry. With gossip it is the
-// product's policy; without, each entry divides an even part of the slots.
-type schedulers struct {
+// schedulerPolicy runs one share.Scheduler for each entry. With gossip it is the
+// policy of the manager; without, each entry schedules an even share of the slots.
+type schedulerPolicy struct {
 	bench   *shareBench
 	entries []*share.Scheduler
 }
 
 func newFleetSharing(interval time.Duration) func(*shareBench) sharePolicy {
 	return func(b *shareBench) sharePolicy {
-		p := newSchedulers(b, func(int) int { return b.deployment.slots() })
+		p := newSchedulerPolicy(b, func(int) int { return b.deployment.slots() })
 		for from := range p.entries {
-			phase := time.Duration(b.delays.Int64N(int64(interval)))
+			phase := time.Duration(b.gossipRandom.Int64N(int64(interval)))
 			b.every(phase, interval, func() { p.gossip(from) })
 		}
 		return p
@@ -27,13 +27,13 @@
 }
 
 func newLocalSharing(b *shareBench) sharePolicy {
-	return newSchedulers(b, func(entry int) int {
-		return evenPart(b.deployment.slots(), b.deployment.Entries, entry)
+	return newSchedulerPolicy(b, func(entry int) int {
+		return evenShare(b.deployment.slots(), b.deployment.Entries, entry)
 	})
 }
 
-func newSchedulers(b *shareBench, capacity func(entry int) int) *schedulers {
-	p := &schedulers{bench: b}
+func newSchedulerPolicy(b *shareBench, capacity func(entry int) int) *schedulerPolicy {
+	p := &schedulerPolicy{bench: b}
 	for i := range b.deployment.Entries {
 		p.entries = append(p.entries, share.New(share.Config{
 			Entry:            b.deployment.entry(i),
@@ -45,10 +45,10 @@
 	return p
 }
 
-func (p *schedulers) gossip(from int) {
+func (p *schedulerPolicy) gossip(from int) {
 	demand := p.entries[from].Demand()
 	for to := range p.entries {
-		if to == from || p.bench.delays.Float64() < gossipLoss {
+		if to == from || p.bench.gossipRandom.Float64() < gossipLoss {
 			continue
 		}
 		p.bench.after(p.bench.deployment.delay(from, to), func() {
@@ -57,21 +57,21 @@
 	}
 }
 
-func (p *schedulers) submit(r *request) {
+func (p *schedulerPolicy) submit(r *shareRequest) {
 	submitTo(p.bench, p.entries[r.entry], r)
 }
 
-func (p *schedulers) finish(r *request) {
+func (p *schedulerPolicy) finish(r *shareRequest) {
 	p.bench.apply(p.entries[r.entry].Finish(p.bench.now, r.id))
 }
 
-func (p *schedulers) tick() {
+func (p *schedulerPolicy) tick() {
 	for _, s := range p.entries {
 		p.bench.apply(s.Tick(p.bench.now))
 	}
 }
 
-func submitTo(b *shareBench, s *share.Scheduler, r *request) {
+func submitTo(b *shareBench, s *share.Scheduler, r *shareRequest) {
 	out := s.Submit(b.now, r.ticket)
 	switch out.Decision {
 	case share.Start:
@@ -82,16 +82,16 @@
 	}
 }
 
-// static gives each team at each entry a fixed part of the slots.
-type static struct {
-	bench *shareBench
-	parts []map[string]*share.Scheduler // by entry and team
+// staticPolicy gives each team a fixed number of slots at each entry.
+type staticPolicy struct {
+	bench      *shareBench
+	schedulers []map[string]*share.Scheduler // by entry and team
 }
 
-func newStatic(b *shareBench) sharePolicy {
-	p := &static{bench: b, parts: make([]map[string]*share.Scheduler, b.deployment.Entries)}
-	for entry := range p.parts {
-		p.parts[entry] = map[string]*share.Scheduler{}
+func newStaticPolicy(b *shareBench) sharePolicy {
+	p := &staticPolicy{bench: b, schedulers: make([]map[string]*share.Scheduler, b.deployment.Entries)}
+	for entry := range p.schedulers {
+		p.schedulers[entry] = map[string]*share.Scheduler{}
 	}
 	next, before := 0, 0.0
 	for team := range b.deployment.Weights {
@@ -99,11 +99,11 @@
 		slots := int(math.Round(after) - math.Round(before))
 		before = after
 		for k := range b.deployment.Entries {
-			// The remainders go round the entries.
+			// Remainders are given to the entries in turn.
 			entry := (next + k) % b.deployment.Entries
-			p.parts[entry][b.deployment.team(team)] = share.New(share.Config{
+			p.schedulers[entry][b.deployment.team(team)] = share.New(share.Config{
 				Entry:            fmt.Sprintf("%d/%d", entry, team),
-				Capacity:         evenPart(slots, b.deployment.Entries, k),
+				Capacity:         evenShare(slots, b.deployment.Entries, k),
 				ExpectedDuration: b.deployment.RunTime,
 			})
 		}
@@ -112,43 +112,43 @@
 	return p
 }
 
-func (p *static) submit(r *request) {
-	submitTo(p.bench, p.parts[r.entry][r.ticket.Team], r)
+func (p *staticPolicy) submit(r *shareRequest) {
+	submitTo(p.bench, p.schedulers[r.entry][r.ticket.Team], r)
 }
 
-func (p *static) finish(r *request) {
-	p.bench.apply(p.parts[r.entry][r.ticket.Team].Finish(p.bench.now, r.id))
+func (p *staticPolicy) finish(r *shareRequest) {
+	p.bench.apply(p.schedulers[r.entry][r.ticket.Team].Finish(p.bench.now, r.id))
 }
 
-func (p *static) tick() {
-	for _, teams := range p.parts {
+func (p *staticPolicy) tick() {
+	for _, teams := range p.schedulers {
 		for team := range p.bench.deployment.Weights {
 			p.bench.apply(teams[p.bench.deployment.team(team)].Tick(p.bench.now))
 		}
 	}
 }
 
-// firstCome sends the oldest waiting request of the fleet to each free slot:
-// the ideal of first come first served, with a single queue that knows all.
-type firstCome struct {
+// fifoPolicy is ideal first come, first served scheduling: one queue for the whole
+// fleet, whose oldest request gets each free slot.
+type fifoPolicy struct {
 	bench *shareBench
-	queue []*request
+	queue []*shareRequest
 }
 
-func newFirstCome(b *shareBench) sharePolicy {
-	return &firstCome{bench: b}
+func newFIFOPolicy(b *shareBench) sharePolicy {
+	return &fifoPolicy{bench: b}
 }
 
-func (p *firstCome) submit(r *request) {
+func (p *fifoPolicy) submit(r *shareRequest) {
 	p.queue = append(p.queue, r)
 	p.tick()
 }
 
-func (p *firstCome) finish(*request) {
+func (p *fifoPolicy) finish(*shareRequest) {
 	p.tick()
 }
 
-func (p *firstCome) tick() {
+func (p *fifoPolicy) tick() {
 	for len(p.queue) > 0 {
 		r := p.queue[0]
 		late := !r.ticket.Deadline.After(p.bench.now)
@@ -164,10 +164,10 @@
 	}
 }
 
-// evenPart is part i of n of a whole number.
-func evenPart(whole, n, i int) int {
-	part := whole / n
-	if i < whole%n {
+// evenShare returns share i of a total that is divided into n nearly equal integers.
+func evenShare(total, n, i int) int {
+	part := total / n
+	if i < total%n {
 		part++
 	}
 	return part
--- a/internal/experiment/sharetrials.go
+++ b/internal/experiment/sharetrials.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	slowGossip   = 100 * time.Millisecond
-	homeFraction = 0.7             // of a team's load meets its home entry
-	moveInterval = 2 * time.Second // between changes of the home entry
+	slowGossip           = 100 * time.Millisecond
+	primaryFraction      = 0.7             // of a team's load arrives at its primary entry
+	primaryEntryInterval = 2 * time.Second // between changes of the primary entry
 )
 
-// shareScenario makes the load of a deployment.
+// shareScenario names a load and creates it for a deployment.
 type shareScenario struct {
 	name  string
-	loads func(d Deployment) []load
+	loads func(d Deployment) []teamLoad
 }
 
 var shareScenarios = []shareScenario{
-	{"skewed arrival, 1.5 times full", func(d Deployment) []load {
-		return eachTeam(d, func(team int) load {
-			return load{slots: 1.5 * d.share(team), entries: home(d, team, 0)}
+	{"skewed arrival, 1.5 times full", func(d Deployment) []teamLoad {
+		return eachTeam(d, func(team int) teamLoad {
+			return teamLoad{slots: 1.5 * d.share(team), entryFraction: skewedArrival(d, team, 0)}
 		})
 	}},
-	{"skewed arrival that moves", func(d Deployment) []load {
-		return eachTeam(d, func(team int) load {
-			return load{slots: 1.5 * d.share(team), entries: home(d, team, moveInterval)}
+	{"skewed arrival that moves", func(d Deployment) []teamLoad {
+		return eachTeam(d, func(team int) teamLoad {
+			return teamLoad{slots: 1.5 * d.share(team), entryFraction: skewedArrival(d, team, primaryEntryInterval)}
 		})
 	}},
-	{"one large team", func(d Deployment) []load {
-		return eachTeam(d, func(team int) load {
+	{"one large team", func(d Deployment) []teamLoad {
+		return eachTeam(d, func(team int) teamLoad {
 			if team == 0 {
-				return load{slots: 1.5 * float64(d.slots()), entries: even(d)}
+				return teamLoad{slots: 1.5 * float64(d.slots()), entryFraction: evenArrival(d)}
 			}
-			return load{slots: 0.6 * d.share(team), entries: home(d, team, 0)}
+			return teamLoad{slots: 0.6 * d.share(team), entryFraction: skewedArrival(d, team, 0)}
 		})
 	}},
-	{"one team floods", func(d Deployment) []load {
+	{"one team floods", func(d Deployment) []teamLoad {
 		last := len(d.Weights) - 1
-		return eachTeam(d, func(team int) load {
+		return eachTeam(d, func(team int) teamLoad {
 			if team == last {
-				return load{slots: 10 * d.share(team), entries: even(d)}
+				return teamLoad{slots: 10 * d.share(team), entryFraction: evenArrival(d)}
 			}
-			return load{slots: 1.2 * d.share(team), entries: home(d, team, 0)}
+			return teamLoad{slots: 1.2 * d.share(team), entryFraction: skewedArrival(d, team, 0)}
 		})
 	}},
-	{"classes", func(d Deployment) []load {
-		loads := eachTeam(d, func(team int) load {
-			return load{slots: 1.2 * d.share(team), entries: home(d, team, 0)}
+	{"classes", func(d Deployment) []teamLoad {
+		loads := eachTeam(d, func(team int) teamLoad {
+			return teamLoad{slots: 1.2 * d.share(team), entryFraction: skewedArrival(d, team, 0)}
 		})
-		urgent := load{team: 1, class: share.Urgent, slots: 0.2 * float64(d.slots()), entries: even(d)}
-		batch := load{team: 0, class: share.Batch, slots: 0.5 * float64(d.slots()), entries: even(d)}
+		urgent := teamLoad{team: 1, class: share.Urgent, slots: 0.2 * float64(d.slots()), entryFraction: evenArrival(d)}
+		batch := teamLoad{team: 0, class: share.Batch, slots: 0.5 * float64(d.slots()), entryFraction: evenArrival(d)}
 		return append(loads, urgent, batch)
 	}},
-	{"seven tenths full", func(d Deployment) []load {
-		return eachTeam(d, func(team int) load {
-			return load{slots: 0.7 * d.share(team), entries: home(d, team, 0)}
+	{"seven tenths full", func(d Deployment) []teamLoad {
+		return eachTeam(d, func(team int) teamLoad {
+			return teamLoad{slots: 0.7 * d.share(team), entryFraction: skewedArrival(d, team, 0)}
 		})
 	}},
 }
 
-func eachTeam(d Deployment, make func(team int) load) []load {
-	var loads []load
+func eachTeam(d Deployment, make func(team int) teamLoad) []teamLoad {
+	var loads []teamLoad
 	for team := range d.Weights {
 		l := make(team)
 		l.team, l.class = team, share.Normal
@@ -72,21 +72,22 @@
 	return loads
 }
 
-func even(d Deployment) func(int, time.Duration) float64 {
+func evenArrival(d Deployment) func(int, time.Duration) float64 {
 	return func(int, time.Duration) float64 { return 1 / float64(d.Entries) }
 }
 
-// home gives most of the load to one entry, which changes at each interval.
-func home(d Deployment, team int, interval time.Duration) func(int, time.Duration) float64 {
+// skewedArrival sends most of the load to one primary entry. It moves to the next
+// entry after each interval, or stays if the interval is 0.
+func skewedArrival(d Deployment, team int, interval time.Duration) func(int, time.Duration) float64 {
 	return func(entry int, elapsed time.Duration) float64 {
 		at := team
 		if interval > 0 {
 			at += int(elapsed / interval)
 		}
 		if entry == at%d.Entries {
-			return homeFraction
+			return primaryFraction
 		}
-		return (1 - homeFraction) / float64(d.Entries-1)
+		return (1 - primaryFraction) / float64(d.Entries-1)
 	}
 }
 
@@ -98,8 +99,8 @@
 		{"fleet max-min by gossip", newFleetSharing(gossipInterval)},
 		{"same, gossip each 100 ms", newFleetSharing(slowGossip)},
 		{"local-only max-min", newLocalSharing},
-		{"first come first served", newFirstCome},
-		{"static division", newStatic},
+		{"first come first served", newFIFOPolicy},
+		{"static division", newStaticPolicy},
 	}
 	var trials []trial
 	for _, scenario := range shareScenarios {
@@ -119,8 +120,8 @@
 func (m *shareMeasure) outcome() outcome {
 	starts := float64(max(1, m.starts))
 	values := []value{
-		{"share error 1 s", "%", 100 * m.short.largest},
-		{"share error 10 s", "%", 100 * m.long.largest},
+		{"share error 1 s", "%", 100 * m.short.maxDeviation},
+		{"share error 10 s", "%", 100 * m.long.maxDeviation},
 		{"idle while work waits", "%", 100 * m.idle / float64(m.samples)},
 		{"beyond slots", "%", 100 * float64(m.overloads) / starts},
 		{"slot wait p99", "ms", quantile(m.waits[waitForSlot], 99)},
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -10,15 +10,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// WriteJSON writes the rows.
+// WriteJSON writes the report as JSON.
 func (r Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(r), "writing the report")
+	return errors.Wrap(encoder.Encode(r), "write the report as JSON")
 }
 
-// WriteTable writes a table for each part and deployment. A cell is the median
-// with the least and the greatest of the seeds; one number means they agree.
+// WriteTable writes a table for each part and deployment. A cell shows the median
+// over the seeds, followed by the minimum and maximum if they differ.
 func (r Report) WriteTable(w io.Writer) error {
 	if err := writeRows(w, r.Rows); err != nil {
 		return err
@@ -43,7 +43,7 @@
 		}
 		fmt.Fprintln(out, strings.Join(cells, "\t"))
 	}
-	return errors.Wrap(out.Flush(), "writing the table")
+	return errors.Wrap(out.Flush(), "write the report as a table")
 }
 
 func writeHeader(w io.Writer, row Row, gap bool) {
@@ -58,7 +58,7 @@
 	fmt.Fprintln(w, strings.Join(cells, "\t"))
 }
 
-// String is the median with the spread.
+// String returns the median, followed by the range if there is one.
 func (m Metric) String() string {
 	middle, low, high := number(m.Median), number(m.Low), number(m.High)
 	if low == high {
--- a/internal/experiment/wavebench.go
+++ b/internal/experiment/wavebench.go
@@ -11,89 +11,91 @@
 	"github.com/lovagedyke/lovagedyke/internal/wave"
 )
 
-// Sizes of the waves' bench that the deployments have in common.
+// Parameters of the wave simulation that all deployments share.
 const (
-	waveTick         = 250 * time.Millisecond
-	waveLimit        = 3 * time.Hour
-	rebootLeast      = time.Minute
-	rebootGreatest   = 3 * time.Minute
-	needOfPool       = 0.5 // of a pool's hosts carry its load
-	operatorTime     = 10 * time.Minute
-	budgetOfSevenWks = 4234 * time.Second // one thousandth of 7 weeks
-	hearLag          = time.Second        // until an entry has heard of a drain
-	inFlightPerEntry = 2
-	waveRackLostAt   = 2 * time.Minute
-	waveRackBackAt   = 12 * time.Minute
+	waveTick            = 250 * time.Millisecond
+	waveLimit           = 3 * time.Hour
+	minRebootTime       = time.Minute
+	maxRebootTime       = 3 * time.Minute
+	poolNeedFraction    = 0.5 // of a pool's hosts are needed for its load
+	repairDelay         = 10 * time.Minute
+	availabilityBudget  = 4234 * time.Second // 0.1 % of 7 weeks
+	maxDrainNoticeDelay = time.Second        // until an entry observes a drain
+	inFlightPerEntry    = 2
+	waveRackLostAt      = 2 * time.Minute
+	waveRackBackAt      = 12 * time.Minute
 )
 
-// waveScenario is what fails during the waves.
+// waveScenario describes the failures during the maintenance.
 type waveScenario struct {
 	name string
-	// failing is the part of the hosts that do not come back.
-	failing float64
-	// badImage fails each host until an operator has looked.
+	// failureRate is the fraction of hosts that don't come back from their reboot.
+	failureRate float64
+	// badImage makes each host fail until an operator has repaired the first one.
 	badImage bool
 	loseRack bool
 }
 
-// wavePolicy decides which hosts of one pool to take down.
+// wavePolicy decides which hosts of one pool to start maintaining.
 type wavePolicy interface {
 	start(now time.Time, view wave.View) []string
 	resume(view wave.View)
 }
 
-// waveBench maintains all pools of a deployment at the same time. Drains are
-// those of the pool package, with entries that hear of them late.
+// waveBench simulates the maintenance of all pools of a deployment at the same time.
+// Hosts are drained by the pool package; entries observe a drain with a delay.
 type waveBench struct {
 	now        time.Time
 	deployment Deployment
 	scenario   waveScenario
 	random     *rand.Rand
 	pools      []*wavePool
-	// grace reboots hosts that long after the drain began, confirmed or not.
+	// grace, if set, is the time from the start of a drain to the reboot, whether the
+	// drain is confirmed or not.
 	grace time.Duration
-	// apart keeps each pool from knowing of the others' results.
-	apart  bool
-	cut    int
-	lost   int
-	repair time.Time
+	// isolated hides the other pools' results from each pool.
+	isolated    bool
+	requestsCut int
+	hostsFailed int
+	repairedAt  time.Time
 }
 
-// wavePool is one pool and its policy.
+// wavePool is one pool with its policy. Shortage is the time in which it had fewer
+// serving hosts than it needs.
 type wavePool struct {
-	hosts  []*waveHost
-	need   int
-	policy wavePolicy
-	short  time.Duration
+	hosts    []*waveHost
+	need     int
+	policy   wavePolicy
+	shortage time.Duration
 }
 
-// waveHost is a host, its drain and its maintenance.
+// waveHost is a host with the state of its drain and maintenance.
 type waveHost struct {
 	wave.Host
-	reboot     time.Duration
-	fails      bool
-	assignment pool.Assignment
-	drainAt    time.Time
-	drains     *pool.DrainTracker
-	senders    []*waveSender
-	backAt     time.Time
-	failedAt   time.Time
-	rackLost   wave.State // state to return to
+	reboot          time.Duration
+	fails           bool
+	assignment      pool.Assignment
+	drainAt         time.Time
+	drains          *pool.DrainTracker
+	entries         []*waveEntry
+	backAt          time.Time
+	failedAt        time.Time
+	stateBeforeLoss wave.State // restored when the rack is back
 }
 
-// waveSender is an entry's view of a draining host.
-type waveSender struct {
-	id      pool.Sender
-	hearsAt time.Time
-	ends    []time.Time
-	report  pool.Confirmation
+// waveEntry is an entry's view of a draining host.
+type waveEntry struct {
+	id          pool.Sender
+	noticesAt   time.Time
+	requestEnds []time.Time
+	report      pool.Confirmation
 }
 
 func newWaveBench(d Deployment, scenario waveScenario, seed uint64, make func() wavePolicy, grace time.Duration) *waveBench {
 	b := &waveBench{now: epoch, deployment: d, scenario: scenario, random: newRandom(seed), grace: grace}
 	index := 0
 	for _, n := range queueHosts {
-		p := &wavePool{need: int(math.Ceil(needOfPool * float64(n))), policy: make()}
+		p := &wavePool{need: int(math.Ceil(poolNeedFraction * float64(n))), policy: make()}
 		for range n {
 			p.hosts = append(p.hosts, b.newHost(index))
 			index++
@@ -111,13 +113,14 @@
 			Name: name, Rack: fmt.Sprintf("rack-%02d", rack),
 			DataCentre: fmt.Sprintf("dc-%d", rack%3), State: wave.StatePending,
 		},
-		reboot:     rebootLeast + time.Duration(b.random.Int64N(int64(rebootGreatest-rebootLeast))),
-		fails:      b.random.Float64() < b.scenario.failing,
+		reboot:     minRebootTime + time.Duration(b.random.Int64N(int64(maxRebootTime-minRebootTime))),
+		fails:      b.random.Float64() < b.scenario.failureRate,
 		assignment: pool.Assign(name, "queue"),
 	}
 }
 
-// run steps the bench until each host is maintained, and returns how long it took.
+// run simulates until all hosts are maintained or waveLimit is over, and returns the
+// time that it took.
 func (b *waveBench) run() time.Duration {
 	for b.now.Sub(epoch) < waveLimit && !b.finished() {
 		b.loseRack()
@@ -127,7 +130,7 @@
 			}
 			b.step(p)
 		}
-		b.operate()
+		b.repairFailedHosts()
 		b.now = b.now.Add(waveTick)
 	}
 	return b.now.Sub(epoch)
@@ -143,15 +146,15 @@
 }
 
 func (p *wavePool) view() wave.View {
-	view := wave.View{Need: p.need, BudgetLeft: 1 - p.short.Seconds()/budgetOfSevenWks.Seconds()}
+	view := wave.View{Need: p.need, BudgetLeft: 1 - p.shortage.Seconds()/availabilityBudget.Seconds()}
 	for _, h := range p.hosts {
 		view.Hosts = append(view.Hosts, h.Host)
 	}
 	return view
 }
 
-// elsewhere counts the results of the other pools.
-func (b *waveBench) elsewhere(p *wavePool) wave.Results {
+// otherPoolResults counts the results of the other pools.
+func (b *waveBench) otherPoolResults(p *wavePool) wave.Results {
 	var r wave.Results
 	for _, other := range b.pools {
 		if other == p {
@@ -171,8 +174,8 @@
 
 func (b *waveBench) step(p *wavePool) {
 	view := p.view()
-	if !b.apart {
-		view.OtherPools = b.elsewhere(p)
+	if !b.isolated {
+		view.OtherPools = b.otherPoolResults(p)
 	}
 	serving := 0
 	for _, h := range view.Hosts {
@@ -181,7 +184,7 @@
 		}
 	}
 	if serving < p.need {
-		p.short += waveTick
+		p.shortage += waveTick
 	}
 	for _, name := range p.policy.start(b.now, view) {
 		for _, h := range p.hosts {
@@ -192,80 +195,80 @@
 	}
 }
 
-// drain begins a host's maintenance; the entries hear of it one by one.
+// drain starts a host's maintenance. Each entry observes it after a random delay.
 func (b *waveBench) drain(h *waveHost) {
 	next, err := pool.Drain(h.assignment, pool.Maintenance, "")
 	if err != nil {
 		panic(err)
 	}
 	h.assignment, h.State, h.drainAt, h.drains = next, wave.StateDown, b.now, pool.NewDrainTracker()
-	h.senders = nil
+	h.entries = nil
 	for i := range b.deployment.Entries {
-		sender := &waveSender{
-			id:      pool.Sender{Name: b.deployment.entry(i), Incarnation: 1},
-			hearsAt: b.now.Add(time.Duration(b.random.Int64N(int64(hearLag)))),
+		entry := &waveEntry{
+			id:        pool.Sender{Name: b.deployment.entry(i), Incarnation: 1},
+			noticesAt: b.now.Add(time.Duration(b.random.Int64N(int64(maxDrainNoticeDelay)))),
 		}
 		for range inFlightPerEntry {
-			sender.ends = append(sender.ends, b.now.Add(b.deployment.runTime(b.random)))
+			entry.requestEnds = append(entry.requestEnds, b.now.Add(b.deployment.runTime(b.random)))
 		}
-		h.senders = append(h.senders, sender)
+		h.entries = append(h.entries, entry)
 	}
 }
 
-// advance takes a host in maintenance a tick further.
+// advance simulates one tick of a host in maintenance.
 func (b *waveBench) advance(h *waveHost) {
 	switch {
 	case h.State != wave.StateDown:
 	case h.assignment.Phase == pool.Draining:
 		b.confirm(h)
 	case !b.now.Before(h.backAt):
-		b.comeBack(h)
+		b.finishReboot(h)
 	}
 }
 
-// confirm lets the entries report, which arrives a tick later, and reboots the
-// host when the drain is complete.
+// confirm handles the entries' confirmations, each of which arrives one tick late,
+// and reboots the host when the drain is complete.
 func (b *waveBench) confirm(h *waveHost) {
 	var ids []pool.Sender
 	running := 0
-	for _, s := range h.senders {
+	for _, s := range h.entries {
 		h.drains.Confirm(h.Name, s.id, s.report)
 		ids = append(ids, s.id)
-		s.ends = slices.DeleteFunc(s.ends, func(end time.Time) bool { return !end.After(b.now) })
-		s.report = pool.Confirmation{InFlight: len(s.ends)}
-		if b.now.Before(s.hearsAt) {
-			s.ends = append(s.ends, b.now.Add(b.deployment.runTime(b.random)))
+		s.requestEnds = slices.DeleteFunc(s.requestEnds, func(end time.Time) bool { return !end.After(b.now) })
+		s.report = pool.Confirmation{InFlight: len(s.requestEnds)}
+		if b.now.Before(s.noticesAt) {
+			s.requestEnds = append(s.requestEnds, b.now.Add(b.deployment.runTime(b.random)))
 		} else {
 			s.report.Epoch = h.assignment.Epoch
 		}
-		running += len(s.ends)
+		running += len(s.requestEnds)
 	}
-	quiet := h.drains.IsDrained(b.now, h.assignment, ids, nil, time.Minute)
+	drained := h.drains.IsDrained(b.now, h.assignment, ids, nil, time.Minute)
 	if b.grace > 0 {
-		quiet = b.now.Sub(h.drainAt) >= b.grace
+		drained = b.now.Sub(h.drainAt) >= b.grace
 	}
-	if !quiet {
+	if !drained {
 		return
 	}
 	next, err := pool.CompleteDrain(h.assignment)
 	if err != nil {
 		panic(err)
 	}
-	b.cut += running
+	b.requestsCut += running
 	h.assignment, h.backAt = next, b.now.Add(h.reboot)
 }
 
-func (b *waveBench) comeBack(h *waveHost) {
-	if h.fails || b.scenario.badImage && b.repair.IsZero() {
+func (b *waveBench) finishReboot(h *waveHost) {
+	if h.fails || b.scenario.badImage && b.repairedAt.IsZero() {
 		h.State, h.failedAt = wave.StateFailed, b.now
 		h.Since = b.now
-		b.lost++
+		b.hostsFailed++
 		return
 	}
-	b.serveAgain(h)
+	b.returnToService(h)
 }
 
-func (b *waveBench) serveAgain(h *waveHost) {
+func (b *waveBench) returnToService(h *waveHost) {
 	next, err := pool.Return(h.assignment)
 	if err != nil {
 		panic(err)
@@ -274,20 +277,21 @@
 	h.Since = b.now
 }
 
-// operate repairs hosts some time after they failed, and lets the wave go on.
-func (b *waveBench) operate() {
+// repairFailedHosts acts as the operator: it repairs a host repairDelay after its
+// failure, and resumes the wave.
+func (b *waveBench) repairFailedHosts() {
 	for _, p := range b.pools {
 		for _, h := range p.hosts {
-			if h.State == wave.StateFailed && b.now.Sub(h.failedAt) >= operatorTime {
-				b.repair = b.now
+			if h.State == wave.StateFailed && b.now.Sub(h.failedAt) >= repairDelay {
+				b.repairedAt = b.now
 				p.policy.resume(p.view())
-				b.serveAgain(h)
+				b.returnToService(h)
 			}
 		}
 	}
 }
 
-// loseRack takes the first host's rack down for some time.
+// loseRack takes the first host's rack down from waveRackLostAt to waveRackBackAt.
 func (b *waveBench) loseRack() {
 	since := b.now.Sub(epoch)
 	if !b.scenario.loseRack || since < waveRackLostAt {
@@ -300,17 +304,17 @@
 			switch {
 			case h.Rack != rack:
 			case since < waveRackBackAt && serving:
-				h.rackLost, h.State = h.State, wave.StateLost
+				h.stateBeforeLoss, h.State = h.State, wave.StateLost
 			case since >= waveRackBackAt && h.State == wave.StateLost:
-				h.State = h.rackLost
+				h.State = h.stateBeforeLoss
 			}
 		}
 	}
 }
 
-// shortest is a lower bound of the roll-out without failures: a pool must keep
-// its need and one host more, whose rack may be lost.
-func (b *waveBench) shortest() time.Duration {
+// minRollOutTime returns a lower bound of the roll-out time without failures: each
+// pool must keep the hosts that it needs and one more, for the loss of a rack.
+func (b *waveBench) minRollOutTime() time.Duration {
 	longest := time.Duration(0)
 	for _, p := range b.pools {
 		sum := time.Duration(0)
--- a/internal/experiment/wavetrials.go
+++ b/internal/experiment/wavetrials.go
@@ -9,36 +9,37 @@
 
 var waveScenarios = []waveScenario{
 	{name: "no failures"},
-	{name: "hosts fail alone", failing: 0.04},
+	{name: "hosts fail alone", failureRate: 0.04},
 	{name: "a rack is lost", loseRack: true},
 	{name: "bad image", badImage: true},
 }
 
-// namedWavePolicy makes a policy for each pool.
+// namedWavePolicy is a named constructor of policies; each pool gets a policy of its
+// own.
 type namedWavePolicy struct {
-	name  string
-	make  func() wavePolicy
-	grace time.Duration
-	apart bool
+	name     string
+	make     func() wavePolicy
+	grace    time.Duration
+	isolated bool
 }
 
-// wavePolicies are the product, variants of it and the baselines.
+// wavePolicies returns the wave.Wave of the manager, variants of it, and baselines.
 func wavePolicies(d Deployment) []namedWavePolicy {
-	w := measureWeights[d.Name]
+	w := deploymentWeights[d.Name]
 	rollOut := 4 * w.RollOutTime / (w.BufferCost + w.Moves + w.ShareNearness + w.RollOutTime)
 	return []namedWavePolicy{
 		{name: "wave", make: newWave(wave.Config{RollOutTime: rollOut})},
 		{name: "wave, one canary", make: newWave(wave.Config{Canaries: 1})},
 		{name: "wave, any canaries", make: newWave(wave.Config{Canaries: math.MaxInt32})},
-		{name: "wave, pools apart", make: newWave(wave.Config{RollOutTime: rollOut}), apart: true},
-		{name: "one host at a time", make: newAtOnce(0)},
-		{name: "fixed fraction 0.25", make: newAtOnce(0.25)},
-		{name: "fixed fraction 0.5", make: newAtOnce(0.5)},
-		{name: "fixed fraction 0.25, grace 1 s", make: newAtOnce(0.25), grace: time.Second},
+		{name: "wave, pools apart", make: newWave(wave.Config{RollOutTime: rollOut}), isolated: true},
+		{name: "one host at a time", make: newFixedFraction(0)},
+		{name: "fixed fraction 0.25", make: newFixedFraction(0.25)},
+		{name: "fixed fraction 0.5", make: newFixedFraction(0.5)},
+		{name: "fixed fraction 0.25, grace 1 s", make: newFixedFraction(0.25), grace: time.Second},
 	}
 }
 
-// productWave is the product's wave.
+// productWave is the wave.Wave of the manager.
 type productWave struct{ wave *wave.Wave }
 
 func newWave(config wave.Config) func() wavePolicy {
@@ -51,15 +52,15 @@
 
 func (p productWave) resume(view wave.View) { p.wave.Resume(view) }
 
-// atOnce keeps a fixed part of the pool in maintenance, at least one host,
-// whatever else is down.
-type atOnce struct{ fraction float64 }
+// fixedFraction keeps a fixed fraction of the pool in maintenance, and at least one
+// host, regardless of other failures.
+type fixedFraction struct{ fraction float64 }
 
-func newAtOnce(fraction float64) func() wavePolicy {
-	return func() wavePolicy { return atOnce{fraction} }
+func newFixedFraction(fraction float64) func() wavePolicy {
+	return func() wavePolicy { return fixedFraction{fraction} }
 }
 
-func (p atOnce) start(_ time.Time, view wave.View) []string {
+func (p fixedFraction) start(_ time.Time, view wave.View) []string {
 	free := max(1, int(p.fraction*float64(len(view.Hosts))))
 	for _, h := range view.Hosts {
 		if h.State == wave.StateDown {
@@ -75,7 +76,7 @@
 	return start
 }
 
-func (atOnce) resume(wave.View) {}
+func (fixedFraction) resume(wave.View) {}
 
 func waveTrials(d Deployment) []trial {
 	var trials []trial
@@ -85,7 +86,7 @@
 				part: Waves, deployment: d.Name, scenario: scenario.name, policy: policy.name,
 				run: func(seed uint64) outcome {
 					bench := newWaveBench(d, scenario, seed, policy.make, policy.grace)
-					bench.apart = policy.apart
+					bench.isolated = policy.isolated
 					return runWaves(bench)
 				},
 			})
@@ -98,13 +99,13 @@
 	took := b.run()
 	worst := time.Duration(0)
 	for _, p := range b.pools {
-		worst = max(worst, p.short)
+		worst = max(worst, p.shortage)
 	}
 	return outcome{values: []value{
 		{"roll-out", "min", took.Minutes()},
-		{"roll-out over shortest", "%", 100 * took.Seconds() / b.shortest().Seconds()},
-		{"budget spent", "%", 100 * worst.Seconds() / budgetOfSevenWks.Seconds()},
-		{"hosts failed", "hosts", float64(b.lost)},
-		{"requests cut", "requests", float64(b.cut)},
+		{"roll-out over shortest", "%", 100 * took.Seconds() / b.minRollOutTime().Seconds()},
+		{"budget spent", "%", 100 * worst.Seconds() / availabilityBudget.Seconds()},
+		{"hosts failed", "hosts", float64(b.hostsFailed)},
+		{"requests cut", "requests", float64(b.requestsCut)},
 	}}
 }
