--- a/internal/standin/endpoint/behaviour.go
+++ b/internal/standin/endpoint/behaviour.go
@@ -10,16 +10,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Behaviours that a request selects by BehaviourHeader.
+// Values of BehaviourHeader, with which a request selects a behaviour.
 const (
-	Truncate  = "truncate"   // declares more bytes than it sends
-	SlowBody  = "slow-body"  // sends the body in pieces over the run time
-	LargeBody = "large-body" // =<bytes>: repeats the nonce up to that size
-	Status    = "status"     // =<n>: answers with that status
-	Hang      = "hang"       // answers only when the caller has left
+	Truncate  = "truncate"   // declares a longer body than it sends
+	SlowBody  = "slow-body"  // sends the body in pieces, spread over the run time
+	LargeBody = "large-body" // =<bytes>: a body of that size, which repeats the nonce
+	Status    = "status"     // =<n>: responds with that HTTP status
+	Hang      = "hang"       // responds only after the caller has disconnected
 	Trailers  = "trailers"   // adds a trailer
-	Echo      = "echo"       // streams the request's body back
-	Close     = "close"      // runs, then cuts the connection
+	Echo      = "echo"       // streams the request body back
+	Close     = "close"      // runs, then closes the connection without a response
 )
 
 const (
@@ -28,7 +28,7 @@
 	slowBodyPieces = 8
 )
 
-// behaviour is a parsed BehaviourHeader.
+// behaviour is a parsed BehaviourHeader; amount is its value, if it takes one.
 type behaviour struct {
 	name   string
 	amount int
@@ -59,14 +59,14 @@
 	return parsed, nil
 }
 
-// write answers with the body in the manner of the behaviour.
+// write sends the response as the behaviour requires.
 func (b behaviour) write(w http.ResponseWriter, body []byte, nonce string, runTime time.Duration) {
 	switch b.name {
 	case Truncate:
 		w.Header().Set("Content-Length", strconv.Itoa(2*len(body)))
 		_, _ = w.Write(body)
 		_ = http.NewResponseController(w).Flush()
-		panic(http.ErrAbortHandler) // The server's own way to cut a connection.
+		panic(http.ErrAbortHandler) // net/http then closes the connection.
 	case Close:
 		panic(http.ErrAbortHandler)
 	case SlowBody:
@@ -85,7 +85,7 @@
 	}
 }
 
-// writeSlowly sends the body in pieces that together take the given time.
+// writeSlowly sends the body in slowBodyPieces pieces over the given time.
 func writeSlowly(w http.ResponseWriter, body []byte, total time.Duration) {
 	controller := http.NewResponseController(w)
 	size := max(1, (len(body)+slowBodyPieces-1)/slowBodyPieces)
@@ -98,7 +98,7 @@
 	}
 }
 
-// writeRepeated sends size bytes that repeat the nonce and a line feed.
+// writeRepeated sends a body of size bytes that repeats the nonce and a line feed.
 func writeRepeated(w http.ResponseWriter, nonce string, size int) {
 	w.Header().Set("Content-Length", strconv.Itoa(size))
 	block := []byte(strings.Repeat(fmt.Sprintln(nonce), 1024))
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -1,6 +1,5 @@
-// Package endpoint is a small fake of one service's endpoint. It runs requests
-// in a fixed number of slots, misbehaves on request, and keeps the truth about
-// what ran.
+// Package endpoint simulates an endpoint of a service for tests. It runs requests
+// in a fixed number of slots, injects faults on request, and records every run.
 //
 // # Usage
 //
@@ -9,9 +8,9 @@
 //		Address: address, Handler: server.Handler(), ConnState: server.ConnState, Log: logger,
 //	})
 //
-// Every path outside /standin is a request of the service. A run goes on to its
-// end when the caller leaves. Without a free slot the answer is 503 with
-// RefusedHeader, and nothing ran.
+// Every path outside /standin is a request to the service. A run continues to its
+// end if the caller disconnects. Without a free slot, the response is 503 with
+// RefusedHeader, and the request does not run.
 package endpoint
 
 import (
@@ -29,7 +28,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/standin/web"
 )
 
-// Headers that the endpoint reads or sets.
+// Names of headers that the endpoint reads or sets.
 const (
 	EndpointHeader  = "Lovagedyke-Endpoint"
 	RunHeader       = "Lovagedyke-Run"
@@ -49,7 +48,7 @@
 	runHeaderLimit     = 256
 )
 
-// Config describes the endpoint; zero slots and connections mean 8 and 64.
+// Config configures an endpoint. Zero Slots mean 8 and zero Connections mean 64.
 type Config struct {
 	Name        string
 	Service     string
@@ -58,17 +57,17 @@
 	RunTime     time.Duration
 }
 
-// Faults are the process-wide misbehaviours.
+// Faults are the faults of the whole process.
 type Faults struct {
-	// FailEverything runs each request and answers 500.
+	// FailEverything runs each request and responds with 500.
 	FailEverything bool `json:"fail-everything,omitempty"`
-	// Slow is added to each run's time.
+	// Slow is added to the time of each run.
 	Slow duration.Text `json:"slow,omitzero"`
-	// Down cuts each connection without running anything.
+	// Down closes each connection without running the request.
 	Down bool `json:"down,omitempty"`
 }
 
-// Answer is the JSON body of an ordinary answer.
+// Answer is the JSON body of a successful response.
 type Answer struct {
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
@@ -82,16 +81,16 @@
 	Hash     uint64 `json:"body-hash,string"`
 }
 
-// Server is the fake. It is safe for concurrent use.
+// Server is a simulated endpoint. It is safe for concurrent use.
 type Server struct {
-	cfg    Config
-	ledger *ledger
+	cfg  Config
+	runs *runLog
 
-	mu       sync.Mutex
-	faults   Faults
-	leaving  bool
-	open     int
-	greatest int
+	mu      sync.Mutex
+	faults  Faults
+	leaving bool
+	open    int
+	maxOpen int
 }
 
 // New returns an endpoint without faults.
@@ -102,10 +101,10 @@
 	if cfg.Connections == 0 {
 		cfg.Connections = defaultConnections
 	}
-	return &Server{cfg: cfg, ledger: newLedger(cfg.Slots)}
+	return &Server{cfg: cfg, runs: newRunLog(cfg.Slots)}
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the HTTP handler of the endpoint.
 func (s *Server) Handler() http.Handler {
 	router := httprouter.New()
 	router.RedirectTrailingSlash = false
@@ -119,14 +118,15 @@
 	return router
 }
 
-// ConnState closes connections above the limit.
+// ConnState is an http.Server.ConnState hook that closes new connections above the
+// limit.
 func (s *Server) ConnState(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		s.open++
-		s.greatest = max(s.greatest, s.open)
+		s.maxOpen = max(s.maxOpen, s.open)
 		if s.open > s.cfg.Connections {
 			_ = conn.Close()
 		}
@@ -135,20 +135,20 @@
 	}
 }
 
-// serve runs one request of the service.
+// serve handles one request to the service.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	faults := s.faults
 	leaving := s.leaving
 	s.mu.Unlock()
 	if faults.Down {
-		panic(http.ErrAbortHandler) // The server's own way to cut a connection.
+		panic(http.ErrAbortHandler) // net/http then closes the connection.
 	}
 	w.Header().Set(EndpointHeader, s.cfg.Name)
 	if leaving {
 		w.Header().Set("Connection", "close")
 	}
-	wanted, err := parseBehaviour(r.Header.Get(BehaviourHeader))
+	requested, err := parseBehaviour(r.Header.Get(BehaviourHeader))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -159,50 +159,50 @@
 		return
 	}
 	run := newRun(r)
-	if !s.ledger.start(run) {
+	if !s.runs.start(run) {
 		w.Header().Set(RefusedHeader, "slots")
 		http.Error(w, "no free slot", http.StatusServiceUnavailable)
 		return
 	}
-	s.run(w, r, run, wanted, runTime, faults)
+	s.run(w, r, run, requested, runTime, faults)
 }
 
-// run does the work of a request that holds a slot and answers it.
-func (s *Server) run(w http.ResponseWriter, r *http.Request, run Run, wanted behaviour, runTime time.Duration, faults Faults) {
+// run executes a request that holds a slot, and responds to it.
+func (s *Server) run(w http.ResponseWriter, r *http.Request, run Run, requested behaviour, runTime time.Duration, faults Faults) {
 	run.Status = http.StatusOK
 	defer func() {
 		run.End = time.Now()
-		s.ledger.end(run)
+		s.runs.end(run)
 	}()
 	nonce := r.Header.Get(NonceHeader)
 	w.Header().Set(NonceHeader, nonce)
-	if wanted.name == Echo {
+	if requested.name == Echo {
 		time.Sleep(runTime)
 		echo(w, r)
 		return
 	}
 	answer := s.answer(r, run)
-	if wanted.name == Hang {
+	if requested.name == Hang {
 		hang(r)
 	}
-	if wanted.name != SlowBody {
+	if requested.name != SlowBody {
 		time.Sleep(runTime)
 	}
 	if faults.FailEverything {
-		wanted = behaviour{name: Status, amount: http.StatusInternalServerError}
+		requested = behaviour{name: Status, amount: http.StatusInternalServerError}
 	}
-	if wanted.name == Status {
-		run.Status = wanted.amount
+	if requested.name == Status {
+		run.Status = requested.amount
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
 		panic(err)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	wanted.write(w, body, nonce, runTime)
+	requested.write(w, body, nonce, runTime)
 }
 
-// answer reads the request's body and describes the request.
+// answer reads the request body and describes the request.
 func (s *Server) answer(r *http.Request, run Run) Answer {
 	hash := xxhash.New()
 	size, _ := io.Copy(hash, r.Body)
@@ -220,7 +220,8 @@
 	}
 }
 
-// runTime returns the time that the request takes.
+// runTime returns how long the request runs: as RunTimeHeader says, or else as
+// configured.
 func (s *Server) runTime(r *http.Request, faults Faults) (time.Duration, error) {
 	text := r.Header.Get(RunTimeHeader)
 	if text == "" {
@@ -237,15 +238,15 @@
 	web.WriteJSON(w, http.StatusOK, s.Stats())
 }
 
-// Stats returns the truth about what ran so far.
+// Stats returns the runs and counts so far.
 func (s *Server) Stats() Stats {
-	stats := s.ledger.stats()
+	stats := s.runs.stats()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stats.Endpoint = s.cfg.Name
 	stats.Service = s.cfg.Service
 	stats.Leaving = s.leaving
-	stats.GreatestConnections = s.greatest
+	stats.MaxConnections = s.maxOpen
 	return stats
 }
 
@@ -267,22 +268,22 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// newRun describes the run that a request asks for.
+// newRun returns the run of a request that starts now.
 func newRun(r *http.Request) Run {
 	return Run{
-		ID:    bounded(r.Header.Get(RunHeader)),
-		Team:  bounded(r.Header.Get(TeamHeader)),
-		Key:   bounded(r.Header.Get(KeyHeader)),
+		ID:    truncate(r.Header.Get(RunHeader)),
+		Team:  truncate(r.Header.Get(TeamHeader)),
+		Key:   truncate(r.Header.Get(KeyHeader)),
 		Start: time.Now(),
 	}
 }
 
-// bounded keeps a foreign string from filling the ledger.
-func bounded(text string) string {
+// truncate limits the length of a caller's string, to bound the run log.
+func truncate(text string) string {
 	return text[:min(len(text), runHeaderLimit)]
 }
 
-// echo streams the request's body back while it arrives.
+// echo streams the request body back while it arrives.
 func echo(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	_ = controller.EnableFullDuplex()
@@ -291,7 +292,7 @@
 	_, _ = io.Copy(w, r.Body)
 }
 
-// hang waits until the caller has left.
+// hang waits until the caller has disconnected, at most maxHang.
 func hang(r *http.Request) {
 	timer := time.NewTimer(maxHang)
 	defer timer.Stop()
--- a/internal/standin/endpoint/ledger.go
+++ b/internal/standin/endpoint/runlog.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxRecords bounds the completed runs and the keys that are kept.
+// maxRecords limits the completed runs, and the idempotency keys, in a run log.
 const maxRecords = 200_000
 
-// Run is one run that took place, as the endpoint saw it.
+// Run is the record of a completed run.
 type Run struct {
 	ID     string    `json:"run"`
 	Team   string    `json:"team"`
@@ -18,44 +18,44 @@
 	End    time.Time `json:"end"`
 }
 
-// KeyRuns counts the runs started under one team's idempotency key.
+// KeyRuns is the number of runs that were started with a team's idempotency key.
 type KeyRuns struct {
 	Team string `json:"team"`
 	Key  string `json:"idempotency-key"`
 	Runs int    `json:"runs"`
 }
 
-// Counts are the runs of one team, or of all.
+// Counts holds the number of runs of one team, or of all teams.
 type Counts struct {
-	Started   int `json:"started"`
-	Completed int `json:"completed"`
-	Running   int `json:"running"`
-	Greatest  int `json:"greatest-running"`
+	Started    int `json:"started"`
+	Completed  int `json:"completed"`
+	Running    int `json:"running"`
+	MaxRunning int `json:"greatest-running"`
 }
 
-// Stats is the answer to GET /standin/stats.
+// Stats is the response to GET /standin/stats.
 type Stats struct {
-	Endpoint            string            `json:"endpoint"`
-	Service             string            `json:"service"`
-	Leaving             bool              `json:"leaving"`
-	Total               Counts            `json:"total"`
-	Teams               map[string]Counts `json:"teams"`
-	Refused             int               `json:"refused"`
-	GreatestConnections int               `json:"greatest-connections"`
-	LastStart           time.Time         `json:"last-start,omitzero"`
-	KeyRuns             []KeyRuns         `json:"runs-per-key"`
-	Runs                []Run             `json:"runs"`
-	Dropped             int               `json:"dropped-records"`
+	Endpoint       string            `json:"endpoint"`
+	Service        string            `json:"service"`
+	Leaving        bool              `json:"leaving"`
+	Total          Counts            `json:"total"`
+	Teams          map[string]Counts `json:"teams"`
+	Refused        int               `json:"refused"`
+	MaxConnections int               `json:"greatest-connections"`
+	LastStart      time.Time         `json:"last-start,omitzero"`
+	KeyRuns        []KeyRuns         `json:"runs-per-key"`
+	Runs           []Run             `json:"runs"`
+	Dropped        int               `json:"dropped-records"`
 }
 
-// teamKey identifies an idempotency key within its team.
+// teamKey identifies an idempotency key, which belongs to a team.
 type teamKey struct {
 	team string
 	key  string
 }
 
-// ledger is the truth about what ran.
-type ledger struct {
+// runLog records the runs of an endpoint. It is safe for concurrent use.
+type runLog struct {
 	mu        sync.Mutex
 	slots     int
 	total     Counts
@@ -67,13 +67,13 @@
 	lastStart time.Time
 }
 
-// newLedger returns a ledger of an endpoint with so many slots.
-func newLedger(slots int) *ledger {
-	return &ledger{slots: slots, teams: make(map[string]*Counts), keys: make(map[teamKey]int)}
+// newRunLog returns an empty log of an endpoint with the given number of slots.
+func newRunLog(slots int) *runLog {
+	return &runLog{slots: slots, teams: make(map[string]*Counts), keys: make(map[teamKey]int)}
 }
 
-// start takes a slot for the run and reports false if none is free.
-func (l *ledger) start(run Run) bool {
+// start occupies a slot for the run. It reports false if no slot is free.
+func (l *runLog) start(run Run) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.total.Running >= l.slots {
@@ -96,7 +96,7 @@
 }
 
 // end frees the run's slot and records it.
-func (l *ledger) end(run Run) {
+func (l *runLog) end(run Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total.finish()
@@ -109,7 +109,7 @@
 }
 
 // team returns the counts of a team; the caller holds the lock.
-func (l *ledger) team(name string) *Counts {
+func (l *runLog) team(name string) *Counts {
 	counts, ok := l.teams[name]
 	if !ok {
 		counts = &Counts{}
@@ -118,8 +118,8 @@
 	return counts
 }
 
-// stats copies the ledger into an answer.
-func (l *ledger) stats() Stats {
+// stats returns a copy of the log.
+func (l *runLog) stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	stats := Stats{
@@ -143,7 +143,7 @@
 func (c *Counts) begin() {
 	c.Started++
 	c.Running++
-	c.Greatest = max(c.Greatest, c.Running)
+	c.MaxRunning = max(c.MaxRunning, c.Running)
 }
 
 func (c *Counts) finish() {
--- a/internal/standin/load/balancer.go
+++ b/internal/standin/load/balancer.go
@@ -9,55 +9,55 @@
 )
 
 const (
-	// probeInterval is the time between two looks at a target's readiness.
+	// probeInterval is the time between two readiness probes of a target.
 	probeInterval = 100 * time.Millisecond
-	// probeTimeout bounds one look.
+	// probeTimeout is the time limit of one readiness probe.
 	probeTimeout = time.Second
 )
 
-// balancer chooses targets in turn and passes over those that are not ready,
-// as the platform's balancer does.
+// balancer chooses targets round-robin and skips those that are not ready, as the
+// platform's load balancer does.
 type balancer struct {
-	targets []netip.AddrPort
-	probes  []netip.AddrPort
-	down    []atomic.Bool
-	client  *http.Client
+	targets            []netip.AddrPort
+	readinessAddresses []netip.AddrPort
+	notReady           []atomic.Bool
+	client             *http.Client
 }
 
-// newBalancer returns a balancer that believes all targets ready.
+// newBalancer returns a balancer that considers all targets ready at first.
 func newBalancer(cfg Config) *balancer {
 	return &balancer{
-		targets: cfg.Targets,
-		probes:  cfg.Probes,
-		down:    make([]atomic.Bool, len(cfg.Targets)),
-		client:  &http.Client{Timeout: probeTimeout, Transport: &http.Transport{}},
+		targets:            cfg.Targets,
+		readinessAddresses: cfg.ReadinessAddresses,
+		notReady:           make([]atomic.Bool, len(cfg.Targets)),
+		client:             &http.Client{Timeout: probeTimeout, Transport: &http.Transport{}},
 	}
 }
 
-// target returns the next ready target from the index on, or that of the index
-// when none is ready.
+// target returns the first ready target from the index on, or the one at the index
+// if no target is ready.
 func (b *balancer) target(index int) netip.AddrPort {
 	for i := range b.targets {
 		at := (index + i) % len(b.targets)
-		if !b.down[at].Load() {
+		if !b.notReady[at].Load() {
 			return b.targets[at]
 		}
 	}
 	return b.targets[index%len(b.targets)]
 }
 
-// run probes the targets until the context ends; the channel is closed then.
-func (b *balancer) run(ctx context.Context) <-chan struct{} {
+// probe probes the targets until the context ends, and then closes the channel.
+func (b *balancer) probe(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		defer b.client.CloseIdleConnections()
-		if len(b.probes) == 0 {
+		if len(b.readinessAddresses) == 0 {
 			return
 		}
 		for {
-			for i, probe := range b.probes {
-				b.down[i].Store(!b.ready(ctx, probe))
+			for i, probe := range b.readinessAddresses {
+				b.notReady[i].Store(!b.ready(ctx, probe))
 			}
 			select {
 			case <-ctx.Done():
@@ -69,7 +69,7 @@
 	return done
 }
 
-// ready asks a target's operations port.
+// ready requests /readyz at a target's operations address.
 func (b *balancer) ready(ctx context.Context, probe netip.AddrPort) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+probe.String()+"/readyz", nil)
 	if err != nil {
--- a/internal/standin/load/check.go
+++ b/internal/standin/load/check.go
@@ -13,60 +13,60 @@
 	"github.com/lovagedyke/lovagedyke/internal/standin/endpoint"
 )
 
-// problemType marks an answer that the entry itself made.
+// problemType is the content type of responses that the entry itself generates.
 const problemType = "application/problem+json"
 
-// verdict is what an answer turned out to be.
-type verdict string
+// answerKind classifies the outcome of a request.
+type answerKind string
 
 const (
-	verdictOK      verdict = "ok"
-	verdictEntry   verdict = "entry"   // an answer of the entry's own
-	verdictStatus  verdict = "status"  // an error status of the endpoint
-	verdictWrong   verdict = "wrong"   // not the answer to this request
-	verdictCut     verdict = "cut"     // passed on in part
-	verdictFailure verdict = "failure" // no answer
+	answerOK          answerKind = "ok"
+	answerByEntry     answerKind = "entry"   // a problem response of the entry itself
+	answerErrorStatus answerKind = "status"  // an error status of the endpoint
+	answerMismatch    answerKind = "wrong"   // not the response to this request
+	answerTruncated   answerKind = "cut"     // incomplete body
+	answerMissing     answerKind = "failure" // no response
 )
 
-// problem holds the fields of an entry's own answer that callers act on.
+// problem holds the fields of an entry's problem response that callers act on.
 type problem struct {
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason"`
 }
 
-// request is what was sent, as far as its answer must match it.
+// request holds the parts of a request that its response has to match.
 type request struct {
 	nonce     string
 	body      []byte
 	behaviour string
 }
 
-// check reads the answer whole and compares it with its request.
-func (q request) check(response *http.Response) (verdict, problem) {
+// check reads the whole response and compares it with the request.
+func (q request) check(response *http.Response) (answerKind, problem) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return verdictCut, problem{}
+		return answerTruncated, problem{}
 	}
 	if strings.HasPrefix(response.Header.Get("Content-Type"), problemType) {
-		var own problem
-		if json.Unmarshal(body, &own) != nil {
-			return verdictWrong, own
+		var problem problem
+		if json.Unmarshal(body, &problem) != nil {
+			return answerMismatch, problem
 		}
-		return verdictEntry, own
+		return answerByEntry, problem
 	}
 	if response.Header.Get(endpoint.NonceHeader) != q.nonce {
-		return verdictWrong, problem{}
+		return answerMismatch, problem{}
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return verdictStatus, problem{}
+		return answerErrorStatus, problem{}
 	}
 	if !q.matches(response, body) {
-		return verdictWrong, problem{}
+		return answerMismatch, problem{}
 	}
-	return verdictOK, problem{}
+	return answerOK, problem{}
 }
 
-// matches reports whether the body answers the request.
+// matches reports whether the response belongs to the request.
 func (q request) matches(response *http.Response, body []byte) bool {
 	name, value, _ := strings.Cut(q.behaviour, "=")
 	switch name {
@@ -90,7 +90,8 @@
 	return answer.Nonce == q.nonce && answer.Bytes == int64(len(q.body)) && answer.Hash == xxhash.Sum64(q.body)
 }
 
-// repeats reports whether body is the unit over and over, cut at its length.
+// repeats reports whether body consists of repetitions of unit, the last of which
+// may be incomplete.
 func repeats(body []byte, unit string) bool {
 	for len(body) > 0 {
 		n := min(len(body), len(unit))
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -1,5 +1,5 @@
-// Package load is a bounded load tool: it sends requests through entries and
-// checks that each answer is whole and belongs to its own request.
+// Package load is a load generator: it sends a limited number of requests through
+// entries, and checks that each response is complete and belongs to its request.
 //
 // # Usage
 //
@@ -34,24 +34,24 @@
 	outcomeNotRun      = "not-run"
 )
 
-// Config says what to send. The run ends after Duration or Requests, whichever
-// is first.
+// Config configures a run. It ends after Duration or Requests, whichever comes
+// first.
 type Config struct {
 	Targets []netip.AddrPort
-	// Probes are the operations addresses of the targets, in their order. With
-	// them the tool acts as a balancer: it passes over targets that are not ready.
-	Probes      []netip.AddrPort
-	Service     string
-	Key         string
-	Method      string
-	Rate        float64 // requests a second; unpaced if zero
-	Duration    time.Duration
-	Requests    int
-	Concurrency int
-	BodyBytes   int
-	// Marked gives each request an idempotency key of its own.
-	Marked bool
-	// Copies sends each request to so many targets at the same time.
+	// ReadinessAddresses are the operations addresses of the targets, in the same
+	// order. If set, targets that are not ready get no requests.
+	ReadinessAddresses []netip.AddrPort
+	Service            string
+	Key                string
+	Method             string
+	Rate               float64 // requests per second; unlimited if zero
+	Duration           time.Duration
+	Requests           int
+	Concurrency        int
+	BodyBytes          int
+	// IdempotencyKeys gives each request a unique idempotency key.
+	IdempotencyKeys bool
+	// Copies is the number of targets to which each request is sent at the same time.
 	Copies    int
 	Deadline  time.Duration
 	Timeout   time.Duration
@@ -59,34 +59,35 @@
 	RunTime   time.Duration
 }
 
-// generator sends the requests of one run.
+// generator sends the requests of one run and collects the results.
 type generator struct {
-	cfg     Config
-	client  *http.Client
-	samples *collector
-	begin   time.Time
-	next    atomic.Int64
-	balance *balancer
+	cfg      Config
+	client   *http.Client
+	samples  *collector
+	start    time.Time
+	next     atomic.Int64
+	balancer *balancer
 }
 
-// Run sends the load and returns what came back; it ends early with ctx.
+// Run sends the load and returns a report of the responses. It ends early if ctx is
+// cancelled.
 func Run(ctx context.Context, cfg Config) (Report, error) {
-	cfg, err := complete(cfg)
+	cfg, err := applyDefaults(cfg)
 	if err != nil {
 		return Report{}, err
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: cfg.Concurrency * cfg.Copies, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	g := &generator{
-		cfg:     cfg,
-		client:  &http.Client{Transport: transport, Timeout: cfg.Timeout},
-		samples: newCollector(),
-		begin:   time.Now(),
-		balance: newBalancer(cfg),
+		cfg:      cfg,
+		client:   &http.Client{Transport: transport, Timeout: cfg.Timeout},
+		samples:  newCollector(),
+		start:    time.Now(),
+		balancer: newBalancer(cfg),
 	}
 	probing, stopProbing := context.WithCancel(ctx)
 	defer stopProbing()
-	probed := g.balance.run(probing)
+	probed := g.balancer.probe(probing)
 	var group conc.WaitGroup
 	for range cfg.Concurrency {
 		group.Go(func() { g.send(ctx) })
@@ -94,21 +95,21 @@
 	group.Wait()
 	stopProbing()
 	<-probed
-	return g.samples.finish(time.Since(g.begin)), nil
+	return g.samples.finish(time.Since(g.start)), nil
 }
 
-// complete fills in defaults and rejects what can't be run.
-func complete(cfg Config) (Config, error) {
+// applyDefaults fills in default values and validates the configuration.
+func applyDefaults(cfg Config) (Config, error) {
 	if len(cfg.Targets) == 0 {
-		return cfg, errors.New("targets: at least one is needed")
+		return cfg, errors.New("targets must not be empty")
 	}
 	for _, target := range cfg.Targets {
 		if !target.Addr().IsLoopback() {
-			return cfg, errors.Newf("targets: %s is not on loopback", target)
+			return cfg, errors.Newf("target %s is not a loopback address", target)
 		}
 	}
-	if len(cfg.Probes) > 0 && len(cfg.Probes) != len(cfg.Targets) {
-		return cfg, errors.Newf("probes: %d for %d targets", len(cfg.Probes), len(cfg.Targets))
+	if len(cfg.ReadinessAddresses) > 0 && len(cfg.ReadinessAddresses) != len(cfg.Targets) {
+		return cfg, errors.Newf("readiness addresses: got %d for %d targets", len(cfg.ReadinessAddresses), len(cfg.Targets))
 	}
 	if cfg.Duration <= 0 && cfg.Requests <= 0 {
 		return cfg, errors.New("duration or requests must be set")
@@ -131,23 +132,24 @@
 func (g *generator) send(ctx context.Context) {
 	for {
 		index := g.next.Add(1) - 1
-		if !g.await(ctx, index) {
+		if !g.waitUntilDue(ctx, index) {
 			return
 		}
 		g.sendCopies(ctx, index)
 	}
 }
 
-// await waits until the request of that index is due; false ends the run.
-func (g *generator) await(ctx context.Context, index int64) bool {
+// waitUntilDue waits until the request with the index is due. It returns false when
+// the run is over.
+func (g *generator) waitUntilDue(ctx context.Context, index int64) bool {
 	if g.cfg.Requests > 0 && index >= int64(g.cfg.Requests) {
 		return false
 	}
 	due := time.Now()
 	if g.cfg.Rate > 0 {
-		due = g.begin.Add(time.Duration(float64(index) / g.cfg.Rate * float64(time.Second)))
+		due = g.start.Add(time.Duration(float64(index) / g.cfg.Rate * float64(time.Second)))
 	}
-	if g.cfg.Duration > 0 && !due.Before(g.begin.Add(g.cfg.Duration)) {
+	if g.cfg.Duration > 0 && !due.Before(g.start.Add(g.cfg.Duration)) {
 		return false
 	}
 	timer := time.NewTimer(time.Until(due))
@@ -157,21 +159,21 @@
 		return false
 	case <-timer.C:
 	}
-	return g.cfg.Duration <= 0 || time.Since(g.begin) < g.cfg.Duration
+	return g.cfg.Duration <= 0 || time.Since(g.start) < g.cfg.Duration
 }
 
-// sendCopies sends one request to as many targets as it has copies.
+// sendCopies sends the copies of one request to different targets.
 func (g *generator) sendCopies(ctx context.Context, index int64) {
 	key := ""
-	if g.cfg.Marked {
+	if g.cfg.IdempotencyKeys {
 		key = newID()
 	}
-	// All copies are the same request, as a caller's repeat is.
+	// All copies are identical, like a request that a caller retries.
 	q := request{nonce: newID(), body: newBody(index, g.cfg.BodyBytes), behaviour: g.cfg.Behaviour}
 	var refused atomic.Int64
 	var group conc.WaitGroup
 	for i := range g.cfg.Copies {
-		target := g.balance.target(int(index) + i)
+		target := g.balancer.target(int(index) + i)
 		group.Go(func() {
 			s := g.exchange(ctx, target, key, q)
 			if s.problem.Outcome == outcomeNotRun {
@@ -181,35 +183,35 @@
 		})
 	}
 	group.Wait()
-	if g.cfg.Marked && int(refused.Load()) == g.cfg.Copies {
-		g.samples.refuse(key)
+	if g.cfg.IdempotencyKeys && int(refused.Load()) == g.cfg.Copies {
+		g.samples.addRefusedKey(key)
 	}
 }
 
-// exchange sends one request and judges its answer.
+// exchange sends one request and checks the response.
 func (g *generator) exchange(ctx context.Context, target netip.AddrPort, key string, q request) sample {
-	// A run that ends lets its last requests finish.
+	// The end of the run does not cancel requests in flight.
 	httpRequest, err := g.request(context.WithoutCancel(ctx), target, key, q)
 	if err != nil {
-		return sample{verdict: verdictFailure, err: err}
+		return sample{kind: answerMissing, err: err}
 	}
 	sent := time.Now()
 	response, err := g.client.Do(httpRequest)
 	if err != nil {
-		return sample{sent: sent, verdict: verdictFailure, err: err}
+		return sample{sent: sent, kind: answerMissing, err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
-	verdict, own := q.check(response)
+	kind, problem := q.check(response)
 	return sample{
 		sent:    sent,
-		took:    time.Since(sent),
-		verdict: verdict,
-		problem: own,
+		latency: time.Since(sent),
+		kind:    kind,
+		problem: problem,
 		status:  response.StatusCode,
 	}
 }
 
-// request builds the HTTP request.
+// request returns the HTTP request.
 func (g *generator) request(ctx context.Context, target netip.AddrPort, key string, q request) (*http.Request, error) {
 	url := fmt.Sprintf("http://%s/%s/load", target, g.cfg.Service)
 	built, err := http.NewRequestWithContext(ctx, g.cfg.Method, url, bytes.NewReader(q.body))
@@ -236,7 +238,7 @@
 	return built, nil
 }
 
-// newBody returns size bytes that differ from index to index.
+// newBody returns a body of size bytes that depends on the index.
 func newBody(index int64, size int) []byte {
 	unit := fmt.Sprintf("%d ", index)
 	return []byte(strings.Repeat(unit, size/len(unit)+1))[:size]
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -38,10 +38,10 @@
 	return report, back.Stats()
 }
 
-func straight(next http.Handler) http.Handler { return next }
+func passThrough(next http.Handler) http.Handler { return next }
 
-// swapped answers each request with another one's nonce.
-func swapped(next http.Handler) http.Handler {
+// replaceNonce answers each request with the nonce of another one.
+func replaceNonce(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
 		r.Header.Set(endpoint.NonceHeader, "another")
@@ -50,7 +50,7 @@
 	})
 }
 
-func refusing(http.Handler) http.Handler {
+func refuseAll(http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/problem+json")
 		w.WriteHeader(http.StatusTooManyRequests)
@@ -58,7 +58,7 @@
 	})
 }
 
-func TestRunJudgesAnswers(t *testing.T) {
+func TestRunClassifiesAnswers(t *testing.T) {
 	tests := map[string]struct {
 		cfg        load.Config
 		front      func(http.Handler) http.Handler
@@ -69,7 +69,7 @@
 		wantNotRun int
 		want500    int
 	}{
-		"plain":      {cfg: load.Config{BodyBytes: 1000, Marked: true}, wantOK: requests},
+		"plain":      {cfg: load.Config{BodyBytes: 1000, IdempotencyKeys: true}, wantOK: requests},
 		"get":        {cfg: load.Config{Method: http.MethodGet}, wantOK: requests},
 		"echo":       {cfg: load.Config{BodyBytes: 100_000, Behaviour: endpoint.Echo}, wantOK: requests},
 		"large body": {cfg: load.Config{Behaviour: endpoint.LargeBody + "=300000"}, wantOK: requests},
@@ -78,13 +78,13 @@
 		"truncated":  {cfg: load.Config{Behaviour: endpoint.Truncate}, wantCut: requests},
 		"closed":     {cfg: load.Config{Behaviour: endpoint.Close}, wantErrors: requests},
 		"status":     {cfg: load.Config{Behaviour: endpoint.Status + "=500"}, want500: requests},
-		"swapped":    {cfg: load.Config{}, front: swapped, wantWrong: requests},
-		"refused":    {cfg: load.Config{}, front: refusing, wantNotRun: requests},
+		"swapped":    {cfg: load.Config{}, front: replaceNonce, wantWrong: requests},
+		"refused":    {cfg: load.Config{}, front: refuseAll, wantNotRun: requests},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			if tc.front == nil {
-				tc.front = straight
+				tc.front = passThrough
 			}
 			report, _ := run(t, tc.cfg, tc.front)
 			got := []int{
@@ -105,7 +105,7 @@
 }
 
 func TestCopiesShareOneKey(t *testing.T) {
-	_, stats := run(t, load.Config{Marked: true, Copies: 2}, straight)
+	_, stats := run(t, load.Config{IdempotencyKeys: true, Copies: 2}, passThrough)
 	if got, want := len(stats.KeyRuns), requests; got != want {
 		t.Fatalf("keys: got %d, want %d", got, want)
 	}
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -10,47 +10,48 @@
 )
 
 const (
-	minLatency       = time.Microsecond
-	maxLatency       = 10 * time.Minute
-	significantDigit = 3
+	minLatency        = time.Microsecond
+	maxLatency        = 10 * time.Minute
+	significantDigits = 3
 )
 
-// Report counts what came back.
+// Report counts the requests by result.
 type Report struct {
 	Sent int `json:"sent"`
 	OK   int `json:"ok"`
-	// Outcomes and Reasons count the entries' own answers.
+	// Outcomes and Reasons count the problem responses of entries.
 	Outcomes map[string]int `json:"outcomes"`
 	Reasons  map[string]int `json:"reasons"`
-	// Statuses counts the endpoints' error statuses.
+	// Statuses counts the error statuses of endpoints.
 	Statuses map[int]int `json:"statuses"`
 	Wrong    int         `json:"wrong"`
-	// RefusedKeys are the idempotency keys all of whose copies were answered
-	// with the outcome not-run.
+	// RefusedKeys are the idempotency keys for which all copies of the request got
+	// the outcome not-run.
 	RefusedKeys []string `json:"refused-keys,omitempty"`
 	Cut         int      `json:"cut"`
 	Errors      int      `json:"errors"`
-	// LastError is an example of what made a request fail without an answer.
+	// LastError is the error of the last request that got no response.
 	LastError string        `json:"last-error,omitempty"`
 	P50       duration.Text `json:"p50"`
 	P99       duration.Text `json:"p99"`
-	// FirstOK and LastOK are when the first and last good requests were sent.
+	// FirstOK and LastOK are the times at which the first and the last successful
+	// request were sent.
 	FirstOK time.Time     `json:"first-ok,omitzero"`
 	LastOK  time.Time     `json:"last-ok,omitzero"`
 	Elapsed duration.Text `json:"elapsed"`
 }
 
-// sample is one finished request.
+// sample is the result of one request.
 type sample struct {
 	sent    time.Time
-	took    time.Duration
-	verdict verdict
+	latency time.Duration
+	kind    answerKind
 	problem problem
 	status  int
 	err     error
 }
 
-// collector adds samples up. It is safe for concurrent use.
+// collector accumulates samples in a report. It is safe for concurrent use.
 type collector struct {
 	mu        sync.Mutex
 	report    Report
@@ -65,12 +66,13 @@
 			Reasons:  make(map[string]int),
 			Statuses: make(map[int]int),
 		},
-		latencies: hdrhistogram.New(minLatency.Microseconds(), maxLatency.Microseconds(), significantDigit),
+		latencies: hdrhistogram.New(minLatency.Microseconds(), maxLatency.Microseconds(), significantDigits),
 	}
 }
 
-// refuse notes an idempotency key that the entries say did not run.
-func (c *collector) refuse(key string) {
+// addRefusedKey records the idempotency key of a request whose copies were all
+// reported as not run.
+func (c *collector) addRefusedKey(key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.RefusedKeys = append(c.report.RefusedKeys, key)
@@ -81,29 +83,29 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Sent++
-	switch s.verdict {
-	case verdictOK:
+	switch s.kind {
+	case answerOK:
 		c.addOK(s)
-	case verdictEntry:
+	case answerByEntry:
 		c.report.Outcomes[s.problem.Outcome]++
 		c.report.Reasons[s.problem.Reason]++
-	case verdictStatus:
+	case answerErrorStatus:
 		c.report.Statuses[s.status]++
-	case verdictWrong:
+	case answerMismatch:
 		c.report.Wrong++
-	case verdictCut:
+	case answerTruncated:
 		c.report.Cut++
-	case verdictFailure:
+	case answerMissing:
 		c.report.Errors++
 		c.report.LastError = s.err.Error()
 	}
 }
 
-// addOK counts a good answer and its latency; the caller holds the lock.
+// addOK counts a successful request and its latency. The caller holds the lock.
 func (c *collector) addOK(s sample) {
 	c.report.OK++
-	// A latency outside the histogram's range counts as its greatest value.
-	_ = c.latencies.RecordValue(min(s.took, maxLatency).Microseconds())
+	// A latency above the histogram's range counts as maxLatency.
+	_ = c.latencies.RecordValue(min(s.latency, maxLatency).Microseconds())
 	if c.report.FirstOK.IsZero() || s.sent.Before(c.report.FirstOK) {
 		c.report.FirstOK = s.sent
 	}
@@ -112,7 +114,7 @@
 	}
 }
 
-// finish returns the report of a run that took so long.
+// finish completes the report of a run that took the elapsed time.
 func (c *collector) finish(elapsed time.Duration) Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -9,26 +9,26 @@
 	"github.com/lovagedyke/lovagedyke/internal/duration"
 )
 
-// Faults are the ways in which the platform misbehaves on request.
+// Faults are the faults that the platform injects.
 type Faults struct {
-	// Down refuses every call with 503.
+	// Down rejects every call with 503.
 	Down bool `json:"down,omitempty"`
-	// Slow delays every call, half of it before and half after the effect.
+	// Slow is the delay of every call, half of it before and half after the effect.
 	Slow duration.Text `json:"slow,omitzero"`
-	// LoseAnswers cuts the connection after a commit took effect.
+	// LoseAnswers closes the connection after a commit has taken effect.
 	LoseAnswers LossCount `json:"lose-answers,omitzero"`
-	// ListLag, if set, is how far the host list lags from now on, for all.
+	// ListLag, if set, is the new delay of the host list, for all processes.
 	ListLag *duration.Text `json:"list-lag,omitempty"`
-	// BrokenReboots names hosts that do not come back from a reboot.
+	// BrokenReboots names the hosts that don't come back from a reboot.
 	BrokenReboots []string `json:"broken-reboots,omitempty"`
-	// Processes limits the faults to callers of these names.
+	// Processes limits the faults to the named processes.
 	Processes []string `json:"processes,omitempty"`
 }
 
-// LossCount is a number of answers to lose; JSON true means all of them.
+// LossCount is the number of responses to lose. In JSON, true means all of them.
 type LossCount int
 
-// loseAll is the LossCount without end.
+// loseAll means that all responses are lost.
 const loseAll LossCount = -1
 
 // MarshalJSON implements json.Marshaler.
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// lose reports whether to lose one more answer.
+// lose reports whether to lose the next response, and counts it.
 func (c *LossCount) lose() bool {
 	if *c > 0 {
 		*c--
@@ -66,23 +66,23 @@
 	return *c == loseAll
 }
 
-// faultSet holds the faults of all callers and those of single processes.
+// faultSet holds the default faults and those of individual processes.
 type faultSet struct {
 	all       Faults
 	byProcess map[string]*Faults
-	lag       time.Duration
+	listLag   time.Duration
 }
 
-// newFaultSet returns a set without faults but with the lag.
+// newFaultSet returns a set without faults and with the host list's delay.
 func newFaultSet(lag time.Duration) *faultSet {
-	return &faultSet{byProcess: make(map[string]*Faults), lag: lag}
+	return &faultSet{byProcess: make(map[string]*Faults), listLag: lag}
 }
 
-// set puts faults in force: for the processes they name, or else for everybody,
-// which clears those of single processes.
+// set sets the faults of the processes that they name. Faults that name none apply to
+// all processes and replace those of individual processes.
 func (s *faultSet) set(faults Faults) {
 	if faults.ListLag != nil {
-		s.lag = faults.ListLag.Duration
+		s.listLag = faults.ListLag.Duration
 	}
 	if len(faults.Processes) == 0 {
 		s.all = faults
@@ -96,7 +96,7 @@
 	}
 }
 
-// of returns the faults that a process meets.
+// of returns the faults that apply to a process.
 func (s *faultSet) of(process string) *Faults {
 	if own, ok := s.byProcess[process]; ok {
 		return own
--- a/internal/standin/platform/hostlist.go
+++ b/internal/standin/platform/hostlist.go
@@ -8,14 +8,14 @@
 	api "github.com/lovagedyke/lovagedyke/internal/platform"
 )
 
-// hostChange is a change that the list does not show yet.
+// hostChange is a change that is not visible in the list yet.
 type hostChange struct {
 	at     time.Time
 	host   api.Host
 	remove bool
 }
 
-// hostList shows changes only once they are older than the lag.
+// hostList is a list of hosts in which changes become visible after a delay.
 type hostList struct {
 	shown   map[string]api.Host
 	pending []hostChange
@@ -26,13 +26,13 @@
 	return &hostList{shown: make(map[string]api.Host)}
 }
 
-// change records a change made at that time, which may be in the future.
+// change records a change at the given time, which may be in the future.
 func (l *hostList) change(at time.Time, host api.Host, remove bool) {
 	l.pending = append(l.pending, hostChange{at: at, host: host, remove: remove})
 	slices.SortStableFunc(l.pending, func(a, b hostChange) int { return a.at.Compare(b.at) })
 }
 
-// latest returns a host as it is, whatever the list shows by now.
+// latest returns a host with all changes, including those that are not visible yet.
 func (l *hostList) latest(name string) (api.Host, bool) {
 	for _, change := range slices.Backward(l.pending) {
 		if change.host.Name == name {
@@ -43,7 +43,8 @@
 	return host, ok
 }
 
-// list returns the hosts as a reader with that lag sees them, in name order.
+// list returns the visible hosts, sorted by name. Changes are visible once they are
+// as old as the lag.
 func (l *hostList) list(now time.Time, lag time.Duration) []api.Host {
 	for len(l.pending) > 0 && !l.pending[0].at.Add(lag).After(now) {
 		l.apply(l.pending[0])
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,14 +1,14 @@
-// Package platform is a small fake of the platform's services: the
-// transactional table, the object store and the lagging list of hosts, with
-// their rate limits and with faults that a test switches on over HTTP.
+// Package platform simulates the platform's services for tests: the transactional
+// table, the object store and the delayed host list. It enforces rate limits and
+// injects faults that a test sets over HTTP.
 //
 // # Usage
 //
 //	server := platform.New(platform.Config{ListLag: 2 * time.Second})
 //	err := web.Serve(ctx, web.Config{Address: address, Handler: server.Handler(), Log: logger})
 //
-// Faults are set by PUT /faults; GET /stats counts the reads and writes of each
-// caller and those refused. PUT and DELETE /hosts/<name> change the hosts.
+// PUT /faults sets the faults. GET /stats returns the number of reads, writes and
+// rejected calls of each caller. PUT and DELETE /hosts/<name> change the hosts.
 package platform
 
 import (
@@ -34,7 +34,8 @@
 	maxObjectBytes         = 64 << 20
 )
 
-// Config sets the limits; zero values mean the defaults.
+// Config configures a platform. Zero values mean the defaults; the default ListLag
+// is 0.
 type Config struct {
 	WritesPerSecond int
 	ReadsPerSecond  int
@@ -45,7 +46,8 @@
 	Now func() time.Time
 }
 
-// CallerStats counts one process's calls in operations of up to 100 rows.
+// CallerStats counts the operations of one process. An operation covers up to 100
+// rows.
 type CallerStats struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -53,13 +55,13 @@
 	Lost    int `json:"lost"`
 }
 
-// Stats is the answer to GET /stats.
+// Stats is the response to GET /stats.
 type Stats struct {
 	Callers map[string]CallerStats `json:"callers"`
 	Total   CallerStats            `json:"total"`
 }
 
-// Server is the fake. It is safe for concurrent use.
+// Server is a simulated platform. It is safe for concurrent use.
 type Server struct {
 	now        func() time.Time
 	rebootTime time.Duration
@@ -74,7 +76,7 @@
 	callers map[string]*CallerStats
 }
 
-// New returns an empty platform.
+// New returns a platform without rows, objects, hosts or faults.
 func New(cfg Config) *Server {
 	if cfg.WritesPerSecond == 0 {
 		cfg.WritesPerSecond = defaultWritesPerSecond
@@ -101,42 +103,43 @@
 	}
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the HTTP handler of the platform.
 func (s *Server) Handler() http.Handler {
 	router := httprouter.New()
-	router.POST(api.GetPath, s.faulty(s.get))
-	router.POST(api.ScanPath, s.faulty(s.scan))
-	router.POST(api.CommitPath, s.faulty(s.commit))
-	router.GET(api.HostsPath, s.faulty(s.listHosts))
+	router.POST(api.GetPath, s.withFaults(s.get))
+	router.POST(api.ScanPath, s.withFaults(s.scan))
+	router.POST(api.CommitPath, s.withFaults(s.commit))
+	router.GET(api.HostsPath, s.withFaults(s.listHosts))
 	router.PUT(api.HostsPath+"/:name", s.putHost)
 	router.DELETE(api.HostsPath+"/:name", s.deleteHost)
-	router.POST(api.HostsPath+"/:name"+api.RebootAction, s.faulty(s.rebootHost))
-	router.PUT(api.ObjectPath+"*name", s.faulty(s.putObject))
-	router.GET(api.ObjectPath+"*name", s.faulty(s.getObject))
-	router.DELETE(api.ObjectPath+"*name", s.faulty(s.deleteObject))
+	router.POST(api.HostsPath+"/:name"+api.RebootAction, s.withFaults(s.rebootHost))
+	router.PUT(api.ObjectPath+"*name", s.withFaults(s.putObject))
+	router.GET(api.ObjectPath+"*name", s.withFaults(s.getObject))
+	router.DELETE(api.ObjectPath+"*name", s.withFaults(s.deleteObject))
 	router.PUT("/faults", s.putFaults)
 	router.GET("/stats", s.getStats)
 	return router
 }
 
-// faulty wraps a handler in the caller's faults.
-func (s *Server) faulty(next httprouter.Handle) httprouter.Handle {
+// withFaults applies the caller's faults to a handler.
+func (s *Server) withFaults(next httprouter.Handle) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 		s.mu.Lock()
 		faults := *s.faults.of(r.Header.Get(api.ProcessHeader))
 		s.mu.Unlock()
-		// The sleep ignores the caller's leaving: a late commit still takes effect.
+		// The sleep ignores the request's context: a commit takes effect even if its
+		// caller has disconnected meanwhile.
 		time.Sleep(faults.Slow.Duration / 2)
 		if faults.Down {
-			s.refuse(w, r, http.StatusServiceUnavailable)
+			s.reject(w, r, http.StatusServiceUnavailable)
 			return
 		}
 		next(w, r, params)
 	}
 }
 
-// pause is the second half of a slow call.
-func (s *Server) pause(r *http.Request) {
+// delayAnswer sleeps for the second half of a slow call's delay.
+func (s *Server) delayAnswer(r *http.Request) {
 	s.mu.Lock()
 	slow := s.faults.of(r.Header.Get(api.ProcessHeader)).Slow.Duration
 	s.mu.Unlock()
@@ -145,7 +148,7 @@
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var request api.GetRequest
-	if !web.ReadJSON(w, r, &request) || !s.charge(w, r, 0, operations(len(request.Keys))) {
+	if !web.ReadJSON(w, r, &request) || !s.consumeOperations(w, r, 0, operationCount(len(request.Keys))) {
 		return
 	}
 	rows, err := s.store.Get(r.Context(), request.Keys...)
@@ -158,7 +161,7 @@
 		return
 	}
 	rows, err := s.store.Scan(r.Context(), request.Prefix)
-	if !s.charge(w, r, 0, operations(len(rows))) {
+	if !s.consumeOperations(w, r, 0, operationCount(len(rows))) {
 		return
 	}
 	s.writeRows(w, r, rows, err)
@@ -166,25 +169,25 @@
 
 func (s *Server) commit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var txn table.Txn
-	if !web.ReadJSON(w, r, &txn) || !s.charge(w, r, operations(len(txn.Writes)), 0) {
+	if !web.ReadJSON(w, r, &txn) || !s.consumeOperations(w, r, operationCount(len(txn.Writes)), 0) {
 		return
 	}
 	err := s.store.Commit(r.Context(), txn)
-	s.pause(r)
+	s.delayAnswer(r)
 	var conflict *table.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		web.WriteJSON(w, http.StatusConflict, api.ConflictAnswer{Key: conflict.Key, Want: conflict.Want, Got: conflict.Got})
 	case err != nil:
-		s.refuse(w, r, http.StatusServiceUnavailable)
+		s.reject(w, r, http.StatusServiceUnavailable)
 	case s.loseAnswer(r):
-		panic(http.ErrAbortHandler) // The server's own way to cut a connection.
+		panic(http.ErrAbortHandler) // net/http then closes the connection.
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// loseAnswer reports whether the answer to a commit is to be lost.
+// loseAnswer reports whether the response to a commit is to be lost, and counts it.
 func (s *Server) loseAnswer(r *http.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,16 +201,16 @@
 
 func (s *Server) writeRows(w http.ResponseWriter, r *http.Request, rows []table.Row, err error) {
 	if err != nil {
-		s.refuse(w, r, http.StatusServiceUnavailable)
+		s.reject(w, r, http.StatusServiceUnavailable)
 		return
 	}
-	s.pause(r)
+	s.delayAnswer(r)
 	web.WriteJSON(w, http.StatusOK, api.RowsAnswer{Rows: rows})
 }
 
 func (s *Server) listHosts(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	s.mu.Lock()
-	hosts := s.hosts.list(s.now(), s.faults.lag)
+	hosts := s.hosts.list(s.now(), s.faults.listLag)
 	s.mu.Unlock()
 	web.WriteJSON(w, http.StatusOK, api.HostsAnswer{Hosts: hosts})
 }
@@ -225,7 +228,8 @@
 	s.changeHost(w, api.Host{Name: params.ByName("name")}, true)
 }
 
-// rebootHost takes a host down and has it come back, unless a fault keeps it.
+// rebootHost takes a host down. It comes back after the reboot time, unless a fault
+// prevents it.
 func (s *Server) rebootHost(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,7 +267,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.charge(w, r, 1, 0) {
+	if !s.consumeOperations(w, r, 1, 0) {
 		return
 	}
 	s.mu.Lock()
@@ -273,7 +277,7 @@
 }
 
 func (s *Server) getObject(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	if !s.charge(w, r, 0, 1) {
+	if !s.consumeOperations(w, r, 0, 1) {
 		return
 	}
 	s.mu.Lock()
@@ -287,7 +291,7 @@
 }
 
 func (s *Server) deleteObject(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	if !s.charge(w, r, 1, 0) {
+	if !s.consumeOperations(w, r, 1, 0) {
 		return
 	}
 	s.mu.Lock()
@@ -321,9 +325,9 @@
 	web.WriteJSON(w, http.StatusOK, stats)
 }
 
-// charge takes the call's operations from the buckets. When they do not suffice
-// it answers 429 and returns false.
-func (s *Server) charge(w http.ResponseWriter, r *http.Request, writes, reads int) bool {
+// consumeOperations takes the call's operations from the rate limits. If they are
+// exceeded, it responds with 429 and returns false.
+func (s *Server) consumeOperations(w http.ResponseWriter, r *http.Request, writes, reads int) bool {
 	s.mu.Lock()
 	now := s.now()
 	allowed := s.writes.take(now, writes) && s.reads.take(now, reads)
@@ -334,20 +338,20 @@
 	}
 	s.mu.Unlock()
 	if !allowed {
-		s.refuse(w, r, http.StatusTooManyRequests)
+		s.reject(w, r, http.StatusTooManyRequests)
 	}
 	return allowed
 }
 
-// refuse counts the refusal and answers with the status.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int) {
+// reject counts the rejected call and responds with the status.
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int) {
 	s.mu.Lock()
 	s.caller(r.Header.Get(api.ProcessHeader)).Refused++
 	s.mu.Unlock()
 	http.Error(w, http.StatusText(status), status)
 }
 
-// caller returns the counters of a process; the caller holds the lock.
+// caller returns the counters of a process. s.mu must be held.
 func (s *Server) caller(process string) *CallerStats {
 	stats, ok := s.callers[process]
 	if !ok {
@@ -357,7 +361,8 @@
 	return stats
 }
 
-// operations is the cost of a call on so many rows.
-func operations(rows int) int {
+// operationCount returns the number of operations of a call on the given number of
+// rows.
+func operationCount(rows int) int {
 	return max(1, (rows+rowsPerOperation-1)/rowsPerOperation)
 }
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -23,22 +23,22 @@
 	goleak.VerifyTestMain(m)
 }
 
-// bench is a platform with a clock that the test moves.
-type bench struct {
+// testPlatform is a platform with a clock that the test controls.
+type testPlatform struct {
 	t      *testing.T
 	now    time.Time
 	server *httptest.Server
 }
 
-func newBench(t *testing.T, cfg platform.Config) *bench {
-	b := &bench{t: t, now: time.Unix(1, 0)}
+func newTestPlatform(t *testing.T, cfg platform.Config) *testPlatform {
+	b := &testPlatform{t: t, now: time.Unix(1, 0)}
 	cfg.Now = func() time.Time { return b.now }
 	b.server = httptest.NewServer(platform.New(cfg).Handler())
 	t.Cleanup(b.server.Close)
 	return b
 }
 
-func (b *bench) client(process string) *api.Client {
+func (b *testPlatform) client(process string) *api.Client {
 	client := api.New(api.Config{
 		Address: netip.MustParseAddrPort(b.server.Listener.Addr().String()),
 		Process: process,
@@ -48,7 +48,7 @@
 	return client
 }
 
-func (b *bench) do(method, path, body string) {
+func (b *testPlatform) mustRequest(method, path, body string) {
 	b.t.Helper()
 	request, err := http.NewRequest(method, b.server.URL+path, bytes.NewBufferString(body))
 	if err != nil {
@@ -65,7 +65,7 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-func put(key string, version uint64) table.Txn {
+func putTxn(key string, version uint64) table.Txn {
 	return table.Txn{
 		Conditions: []table.Condition{{Key: key, Version: version}},
 		Writes:     []table.Write{{Key: key, Value: []byte("1")}},
@@ -92,16 +92,16 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			b := newBench(t, platform.Config{})
+			b := newTestPlatform(t, platform.Config{})
 			client := b.client(tc.process)
-			b.do(http.MethodPut, "/faults", tc.faults)
-			if got, want := client.Commit(ctx, put("a", table.Absent)), tc.wantErr; !errors.Is(got, want) {
+			b.mustRequest(http.MethodPut, "/faults", tc.faults)
+			if got, want := client.Commit(ctx, putTxn("a", table.Absent)), tc.wantErr; !errors.Is(got, want) {
 				t.Errorf("commit: got %v, want %v", got, want)
 			}
-			if got, want := client.Commit(ctx, put("b", table.Absent)), tc.wantSecond; !errors.Is(got, want) {
+			if got, want := client.Commit(ctx, putTxn("b", table.Absent)), tc.wantSecond; !errors.Is(got, want) {
 				t.Errorf("second commit: got %v, want %v", got, want)
 			}
-			b.do(http.MethodPut, "/faults", `{}`)
+			b.mustRequest(http.MethodPut, "/faults", `{}`)
 			rows, err := client.Scan(ctx, "a")
 			if err != nil {
 				t.Fatal(err)
@@ -109,7 +109,7 @@
 			if got, want := len(rows) == 1, tc.wantApplied; got != want {
 				t.Errorf("applied: got %v, want %v", got, want)
 			}
-			conflict := client.Commit(ctx, put("a", 99))
+			conflict := client.Commit(ctx, putTxn("a", 99))
 			if !table.IsConflict(conflict) {
 				t.Errorf("stale commit: got %v, want a conflict", conflict)
 			}
@@ -119,7 +119,7 @@
 
 func TestRateLimit(t *testing.T) {
 	ctx := context.Background()
-	b := newBench(t, platform.Config{WritesPerSecond: 4, ReadsPerSecond: 3})
+	b := newTestPlatform(t, platform.Config{WritesPerSecond: 4, ReadsPerSecond: 3})
 	client := b.client("entry-1")
 	// 250 rows are three operations of up to 100 rows.
 	wide := table.Txn{}
@@ -132,11 +132,11 @@
 		wantErr error
 	}{
 		{call: func() error { return client.Commit(ctx, wide) }},
-		{call: func() error { return client.Commit(ctx, put("a", table.Absent)) }},
-		{call: func() error { return client.Commit(ctx, put("b", table.Absent)) }, wantErr: table.ErrUnavailable},
+		{call: func() error { return client.Commit(ctx, putTxn("a", table.Absent)) }},
+		{call: func() error { return client.Commit(ctx, putTxn("b", table.Absent)) }, wantErr: table.ErrUnavailable},
 		{call: func() error { _, err := client.Scan(ctx, "wide/"); return err }},
 		{call: func() error { _, err := client.Get(ctx, "a"); return err }, wantErr: table.ErrUnavailable},
-		{advance: 250 * time.Millisecond, call: func() error { return client.Commit(ctx, put("b", table.Absent)) }},
+		{advance: 250 * time.Millisecond, call: func() error { return client.Commit(ctx, putTxn("b", table.Absent)) }},
 		{advance: time.Second, call: func() error { _, err := client.Get(ctx, "a"); return err }},
 	}
 	for i, step := range steps {
@@ -161,11 +161,11 @@
 	}
 }
 
-func TestHostsLag(t *testing.T) {
+func TestHostListLag(t *testing.T) {
 	ctx := context.Background()
-	b := newBench(t, platform.Config{ListLag: 2 * time.Second})
+	b := newTestPlatform(t, platform.Config{ListLag: 2 * time.Second})
 	client := b.client("entry-1")
-	b.do(http.MethodPut, "/hosts/host-1", `{"data-centre":"suva","endpoints":[{"service":"orders","address":"127.0.0.1:9","slots":8,"connections":64}]}`)
+	b.mustRequest(http.MethodPut, "/hosts/host-1", `{"data-centre":"suva","endpoints":[{"service":"orders","address":"127.0.0.1:9","slots":8,"connections":64}]}`)
 	steps := []struct {
 		advance time.Duration
 		faults  string
@@ -182,10 +182,10 @@
 	for i, step := range steps {
 		b.now = b.now.Add(step.advance)
 		if step.faults != "" {
-			b.do(http.MethodPut, "/faults", step.faults)
+			b.mustRequest(http.MethodPut, "/faults", step.faults)
 		}
 		if step.change != "" {
-			b.do(http.MethodPut, "/hosts/host-1", step.change)
+			b.mustRequest(http.MethodPut, "/hosts/host-1", step.change)
 		}
 		hosts, err := client.Hosts(ctx)
 		if err != nil {
@@ -203,7 +203,7 @@
 
 func TestObjects(t *testing.T) {
 	ctx := context.Background()
-	client := newBench(t, platform.Config{}).client("entry-1")
+	client := newTestPlatform(t, platform.Config{}).client("entry-1")
 	if err := client.PutObject(ctx, "results/orders 1", []byte("plan")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -1,5 +1,6 @@
-// Package report compares what endpoints and workers saw with what callers
-// were told and what was charged.
+// Package report checks the consistency of an end-to-end test: it compares the runs
+// that endpoints and workers recorded with the responses that callers got and with
+// the charges in the table.
 //
 // # Usage
 //
@@ -19,62 +20,65 @@
 	"github.com/lovagedyke/lovagedyke/internal/standin/load"
 )
 
-// maxWithdrawal is how long a withdrawn key may go on working.
-const maxWithdrawal = 5 * time.Second
+// maxWithdrawalDelay is how long an API key may still be accepted after its
+// withdrawal.
+const maxWithdrawalDelay = 5 * time.Second
 
-// Evidence is what was collected from the outside of the system.
+// Evidence holds the data that was collected from the processes around the system.
 type Evidence struct {
 	Endpoints []endpoint.Stats
-	// Tasks are the runs that the workers saw, and RunsPerTask their number.
+	// Tasks are the runs that the workers recorded, and RunsPerTask the number of
+	// runs of each task.
 	Tasks       []Interval
 	RunsPerTask map[string]int
 	// TasksDone are the run ids of the tasks that workers completed.
 	TasksDone []string
-	// Loads are the load tool's reports by name.
+	// Loads are the load generator's reports by name.
 	Loads map[string]load.Report
-	// Limits are the teams' upper limits.
+	// Limits are the upper limits of the teams.
 	Limits map[string]int
-	// WithdrawnAt is when the withdrawal of the key of load Withdrawn was
-	// accepted; zero when none was.
-	WithdrawnAt time.Time
-	Withdrawn   string
-	// Charged and Unproven are the run ids in the table.
+	// WithdrawnAt is the time at which the withdrawal of an API key was accepted, or
+	// zero. WithdrawnLoad is the name of the load that used the key.
+	WithdrawnAt   time.Time
+	WithdrawnLoad string
+	// Charged and Unproven are the run ids of the charges, and of the unproven runs,
+	// in the table.
 	Charged  []string
 	Unproven []string
 }
 
-// Interval is the time that a run took.
+// Interval is the time interval of a run.
 type Interval struct {
 	Team       string
 	Start, End time.Time
 }
 
-// Verdict is one line of the report.
-type Verdict struct {
+// Result is the result of one check.
+type Result struct {
 	Name string
 	Got  string
 	Want string
 	OK   bool
 }
 
-// Check judges the evidence.
-func Check(e Evidence) []Verdict {
-	verdicts := []Verdict{e.served(), e.whole(), e.markedOnce(), e.refusals(), e.taskRuns()}
+// Check returns the results of all checks that apply to the evidence.
+func Check(e Evidence) []Result {
+	results := []Result{e.checkServed(), e.checkAnswers(), e.checkIdempotencyKeys(), e.checkRefusals(), e.checkTaskRuns()}
 	for _, team := range sortedKeys(e.Limits) {
-		verdicts = append(verdicts, e.limit(team))
+		results = append(results, e.checkLimit(team))
 	}
 	if !e.WithdrawnAt.IsZero() {
-		verdicts = append(verdicts, e.withdrawal())
+		results = append(results, e.checkWithdrawal())
 	}
-	return append(verdicts, e.charges(), e.uncharged())
+	return append(results, e.checkCharges(), e.checkUncharged())
 }
 
-// Print writes a table and reports whether all verdicts are good.
-func Print(w io.Writer, verdicts []Verdict) (ok bool) {
+// Print writes the results as a table and reports whether all checks passed.
+func Print(w io.Writer, results []Result) (ok bool) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CHECK\tGOT\tWANT\t")
 	ok = true
-	for _, v := range verdicts {
+	for _, v := range results {
 		mark := "ok"
 		if !v.OK {
 			mark = "FAILED"
@@ -82,23 +86,24 @@
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", v.Name, v.Got, v.Want, mark)
 	}
-	// The writer below is the caller's; its errors are the caller's to see.
+	// Errors of the underlying writer are left to the caller, who owns it.
 	_ = table.Flush()
 	return ok
 }
 
-// served counts the good answers.
-func (e Evidence) served() Verdict {
+// checkServed checks that some requests succeeded.
+func (e Evidence) checkServed() Result {
 	sent, ok := 0, 0
 	for _, l := range e.Loads {
 		sent += l.Sent
 		ok += l.OK
 	}
-	return Verdict{"requests served", fmt.Sprintf("%d of %d", ok, sent), "some", ok > 0}
+	return Result{"requests served", fmt.Sprintf("%d of %d", ok, sent), "some", ok > 0}
 }
 
-// whole counts answers that were not the caller's own, or not whole.
-func (e Evidence) whole() Verdict {
+// checkAnswers checks that no response was incomplete, missing, or that of another
+// request.
+func (e Evidence) checkAnswers() Result {
 	wrong, cut, failed := 0, 0, 0
 	for _, l := range e.Loads {
 		wrong += l.Wrong
@@ -106,11 +111,12 @@
 		failed += l.Errors
 	}
 	got := fmt.Sprintf("%d wrong, %d cut, %d without an answer", wrong, cut, failed)
-	return Verdict{"wrong or cut answers", got, "0", wrong+cut+failed == 0}
+	return Result{"wrong or cut answers", got, "0", wrong+cut+failed == 0}
 }
 
-// markedOnce looks for marked requests that ran more than once.
-func (e Evidence) markedOnce() Verdict {
+// checkIdempotencyKeys checks that no request with an idempotency key ran more than
+// once.
+func (e Evidence) checkIdempotencyKeys() Result {
 	runs := e.runsByKey()
 	twice := 0
 	for _, n := range runs {
@@ -118,36 +124,37 @@
 			twice++
 		}
 	}
-	return Verdict{"marked requests run twice", fmt.Sprintf("%d of %d", twice, len(runs)), "0", twice == 0}
+	return Result{"marked requests run twice", fmt.Sprintf("%d of %d", twice, len(runs)), "0", twice == 0}
 }
 
-// refusals looks for requests that ran although every answer said that they did not.
-func (e Evidence) refusals() Verdict {
+// checkRefusals checks that no request ran although every response said that it did
+// not.
+func (e Evidence) checkRefusals() Result {
 	runs := e.runsByKey()
-	refused, untrue := 0, 0
+	refused, falseRefusals := 0, 0
 	for _, l := range e.Loads {
 		for _, key := range l.RefusedKeys {
 			refused++
 			if runs[key] > 0 {
-				untrue++
+				falseRefusals++
 			}
 		}
 	}
-	return Verdict{"untrue \"not run\"", fmt.Sprintf("%d of %d refused", untrue, refused), "0", untrue == 0}
+	return Result{"untrue \"not run\"", fmt.Sprintf("%d of %d refused", falseRefusals, refused), "0", falseRefusals == 0}
 }
 
-// taskRuns looks for tasks that ran more than once.
-func (e Evidence) taskRuns() Verdict {
+// checkTaskRuns checks that no task ran more than once.
+func (e Evidence) checkTaskRuns() Result {
 	twice := 0
 	for _, n := range e.RunsPerTask {
 		if n > 1 {
 			twice++
 		}
 	}
-	return Verdict{"tasks run twice", fmt.Sprintf("%d of %d", twice, len(e.RunsPerTask)), "0", twice == 0}
+	return Result{"tasks run twice", fmt.Sprintf("%d of %d", twice, len(e.RunsPerTask)), "0", twice == 0}
 }
 
-// runsByKey counts the runs of each idempotency key over all endpoints.
+// runsByKey returns the number of runs of each idempotency key at all endpoints.
 func (e Evidence) runsByKey() map[string]int {
 	runs := make(map[string]int)
 	for _, stats := range e.Endpoints {
@@ -158,17 +165,17 @@
 	return runs
 }
 
-// limit compares the greatest number of a team's runs at one time with its limit.
-func (e Evidence) limit(team string) Verdict {
-	greatest := greatestAtOnce(e.intervals(team))
+// checkLimit checks that a team's concurrent runs never exceeded its limit.
+func (e Evidence) checkLimit(team string) Result {
+	peak := maxConcurrent(e.intervals(team))
 	limit := e.Limits[team]
-	return Verdict{
-		"greatest running, team " + team, fmt.Sprint(greatest),
-		fmt.Sprintf("at most %d", limit), greatest <= limit,
+	return Result{
+		"greatest running, team " + team, fmt.Sprint(peak),
+		fmt.Sprintf("at most %d", limit), peak <= limit,
 	}
 }
 
-// intervals returns the runs of a team at endpoints and workers.
+// intervals returns the intervals of a team's runs at endpoints and workers.
 func (e Evidence) intervals(team string) []Interval {
 	var intervals []Interval
 	for _, stats := range e.Endpoints {
@@ -186,8 +193,8 @@
 	return intervals
 }
 
-// greatestAtOnce returns the largest number of intervals that overlap.
-func greatestAtOnce(intervals []Interval) int {
+// maxConcurrent returns the largest number of intervals that overlap at any time.
+func maxConcurrent(intervals []Interval) int {
 	type edge struct {
 		at    time.Time
 		delta int
@@ -202,40 +209,41 @@
 		}
 		return edges[i].at.Before(edges[j].at)
 	})
-	running, greatest := 0, 0
+	running, peak := 0, 0
 	for _, edge := range edges {
 		running += edge.delta
-		greatest = max(greatest, running)
+		peak = max(peak, running)
 	}
-	return greatest
+	return peak
 }
 
-// withdrawal measures how long a withdrawn key went on working.
-func (e Evidence) withdrawal() Verdict {
-	last := e.Loads[e.Withdrawn].LastOK
+// checkWithdrawal checks that a withdrawn key was not accepted for longer than
+// maxWithdrawalDelay.
+func (e Evidence) checkWithdrawal() Result {
+	last := e.Loads[e.WithdrawnLoad].LastOK
 	took := max(0, last.Sub(e.WithdrawnAt))
-	return Verdict{
+	return Result{
 		"withdrawn key stopped after", took.Round(time.Millisecond).String(),
-		"at most " + maxWithdrawal.String(), took <= maxWithdrawal && !last.IsZero(),
+		"at most " + maxWithdrawalDelay.String(), took <= maxWithdrawalDelay && !last.IsZero(),
 	}
 }
 
-// charges looks for charges without a run.
-func (e Evidence) charges() Verdict {
+// checkCharges checks that each charge has a run, and each run at most one charge.
+func (e Evidence) checkCharges() Result {
 	ran := e.runIDs()
-	unfounded := 0
+	withoutRun := 0
 	for _, id := range e.Charged {
 		if !ran[id] {
-			unfounded++
+			withoutRun++
 		}
 	}
 	distinct := slices.Compact(slices.Sorted(slices.Values(e.Charged)))
-	got := fmt.Sprintf("%d of %d, %d twice", unfounded, len(e.Charged), len(e.Charged)-len(distinct))
-	return Verdict{"charges without a run", got, "0", unfounded == 0 && len(distinct) == len(e.Charged)}
+	got := fmt.Sprintf("%d of %d, %d twice", withoutRun, len(e.Charged), len(e.Charged)-len(distinct))
+	return Result{"charges without a run", got, "0", withoutRun == 0 && len(distinct) == len(e.Charged)}
 }
 
-// uncharged looks for runs that are neither charged nor listed as unproven.
-func (e Evidence) uncharged() Verdict {
+// checkUncharged checks that each run is either charged or listed as unproven.
+func (e Evidence) checkUncharged() Result {
 	known := make(map[string]bool)
 	for _, id := range slices.Concat(e.Charged, e.Unproven) {
 		known[id] = true
@@ -248,10 +256,10 @@
 		}
 	}
 	got := fmt.Sprintf("%d of %d, %d unproven", missing, len(ran), len(e.Unproven))
-	return Verdict{"runs without a charge", got, "0", missing == 0}
+	return Result{"runs without a charge", got, "0", missing == 0}
 }
 
-// runIDs returns the runs that endpoints and workers completed.
+// runIDs returns the ids of the runs that endpoints and workers completed.
 func (e Evidence) runIDs() map[string]bool {
 	ran := make(map[string]bool)
 	for _, stats := range e.Endpoints {
@@ -265,7 +273,7 @@
 	return ran
 }
 
-// sortedKeys returns the keys in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
--- a/internal/standin/web/web.go
+++ b/internal/standin/web/web.go
@@ -1,5 +1,5 @@
-// Package web holds what the stand-ins share: a loopback HTTP server that ends
-// with its context, and JSON bodies.
+// Package web holds the HTTP helpers of the stand-ins: a loopback server with
+// graceful shutdown, and functions that read and write JSON bodies.
 //
 // # Usage
 //
@@ -27,30 +27,30 @@
 	maxJSONBytes      = 16 << 20
 )
 
-// Config is one server. The address must be on loopback.
+// Config configures a server. Address must be a loopback address.
 type Config struct {
 	Address netip.AddrPort
 	Handler http.Handler
 	Log     *log.Logger
-	// Grace bounds the wait for requests in flight; 10 s if zero.
+	// Grace limits the wait for requests in flight at shutdown; 10 s if zero.
 	Grace time.Duration
-	// ConnState, if set, hears of each connection's changes.
+	// ConnState, if set, is called on each change of a connection's state.
 	ConnState func(net.Conn, http.ConnState)
 }
 
-// Serve listens and serves until ctx ends, then finishes the requests in flight.
+// Serve listens and serves until ctx ends, and then waits for requests in flight.
 func Serve(ctx context.Context, cfg Config) error {
 	if !cfg.Address.Addr().IsLoopback() {
-		return errors.Newf("address %s is not on loopback", cfg.Address)
+		return errors.Newf("listen address %s is not a loopback address", cfg.Address)
 	}
 	if cfg.Grace == 0 {
 		cfg.Grace = defaultGrace
 	}
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", cfg.Address.String())
 	if err != nil {
-		return errors.Wrap(err, "cannot listen")
+		return errors.Wrap(err, "start the HTTP server")
 	}
-	cfg.Log.Info("listening", "address", listener.Addr().String())
+	cfg.Log.Info("HTTP server listening", "address", listener.Addr().String())
 	server := &http.Server{Handler: cfg.Handler, ReadHeaderTimeout: readHeaderTimeout, ConnState: cfg.ConnState}
 	done := make(chan error, 1)
 	var group conc.WaitGroup
@@ -61,17 +61,18 @@
 		return err
 	case <-ctx.Done():
 	}
-	cfg.Log.Info("stopping")
+	cfg.Log.Info("HTTP server stopping")
 	graceCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cfg.Grace)
 	defer cancel()
 	if err := server.Shutdown(graceCtx); err != nil {
 		_ = server.Close()
-		return errors.Wrap(err, "requests in flight were cut")
+		return errors.Wrap(err, "shut down the HTTP server: requests in flight were aborted")
 	}
 	return nil
 }
 
-// ReadJSON decodes the request's body. On failure it answers 400 and returns false.
+// ReadJSON decodes the request body. On failure, it responds with 400 and returns
+// false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(io.LimitReader(r.Body, maxJSONBytes))
 	decoder.DisallowUnknownFields()
@@ -82,7 +83,7 @@
 	return true
 }
 
-// WriteJSON answers with the status and the value as JSON.
+// WriteJSON responds with the status, and with the value as JSON.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/internal/standin/web/web_test.go
+++ b/internal/standin/web/web_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestServeFinishesRequests ends the server while a request is in flight.
+// TestServeFinishesRequests stops the server while a request is in flight, and checks
+// that the response is complete.
 func TestServeFinishesRequests(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	opened := make(chan string, 1)
--- a/internal/standin/worker/job.go
+++ b/internal/standin/worker/job.go
@@ -9,17 +9,18 @@
 	"github.com/lovagedyke/lovagedyke/internal/duration"
 )
 
-// Job is what a task's body asks of the stand-in, if the body is such JSON. It
-// is the truth from which a task's declared size and run time may be far off.
+// Job describes what a task really does, if its body is JSON of this form. The run
+// time and resources may differ from those that the task declares.
 type Job struct {
 	RunTime duration.Text `json:"run-time,omitzero"`
 	CPUs    float64       `json:"cpus,omitempty"`
 	Memory  int64         `json:"memory,omitempty"`
-	// Fail, if set, is the reason with which the job fails at its end.
+	// Fail, if set, is the reason with which the task fails at its end.
 	Fail string `json:"fail,omitempty"`
 }
 
-// readJob takes what the body leaves out from the declaration.
+// readJob reads the job from the task's body, and missing values from the task's
+// declaration.
 func readJob(start api.Start) Job {
 	var job Job
 	if json.Unmarshal(start.Body, &job) != nil {
@@ -37,54 +38,54 @@
 	return job
 }
 
-// task is one start and how far it got.
+// task is a task that was started, and its state.
 type task struct {
-	start    api.Start
-	job      Job
-	state    api.State
-	ran      bool
-	reason   string
-	rate     float64
-	progress time.Duration
-	began    time.Time
-	seen     time.Time
-	ended    time.Time
-	lease    time.Time
+	start     api.Start
+	job       Job
+	state     api.State
+	ran       bool
+	reason    string
+	rate      float64
+	progress  time.Duration
+	startedAt time.Time
+	updatedAt time.Time
+	endedAt   time.Time
+	leaseEnd  time.Time
 }
 
-// advance brings the task to now: it runs on, ends, or loses its lease,
-// whichever came first.
+// advance updates the task to the present. If its end and the end of its lease have
+// both passed, the earlier one determines its state.
 func (t *task) advance(now time.Time) {
-	if t.state != api.Running || !now.After(t.seen) {
+	if t.state != api.Running || !now.After(t.updatedAt) {
 		return
 	}
 	end := now
 	if t.rate > 0 {
 		left := float64(t.job.RunTime.Duration-t.progress) / t.rate
-		end = t.seen.Add(time.Duration(left))
+		end = t.updatedAt.Add(time.Duration(left))
 	}
 	done := t.rate > 0 && !end.After(now)
 	switch {
-	case !t.lease.After(now) && !(done && end.Before(t.lease)):
-		t.finish(api.Lapsed, t.lease, "lease-lapsed")
+	case !t.leaseEnd.After(now) && !(done && end.Before(t.leaseEnd)):
+		t.finish(api.Lapsed, t.leaseEnd, "lease-lapsed")
 	case done && t.job.Fail != "":
 		t.finish(api.Failed, end, t.job.Fail)
 	case done:
 		t.finish(api.Done, end, "")
 	default:
-		t.progress += time.Duration(float64(now.Sub(t.seen)) * t.rate)
-		t.seen = now
+		t.progress += time.Duration(float64(now.Sub(t.updatedAt)) * t.rate)
+		t.updatedAt = now
 	}
 }
 
-// finish ends the task at that time.
+// finish ends the task at the given time.
 func (t *task) finish(state api.State, at time.Time, reason string) {
 	t.state = state
-	t.ended = at
+	t.endedAt = at
 	t.reason = reason
 }
 
-// usage is what the running task uses of its worker.
+// usage returns the resources that the task uses, which are none unless it is running.
 func (t *task) usage() api.Resources {
 	if t.state != api.Running {
 		return api.Resources{}
@@ -92,7 +93,7 @@
 	return api.Resources{CPUs: t.job.CPUs * t.rate, Memory: t.job.Memory, Accelerators: t.start.Accelerators}
 }
 
-// checkpoint encodes the progress for a later start.
+// checkpoint encodes the progress, from which a later start resumes.
 func (t *task) checkpoint() []byte {
 	data, err := duration.New(t.progress).MarshalText()
 	if err != nil {
--- a/internal/standin/worker/runner.go
+++ b/internal/standin/worker/runner.go
@@ -12,10 +12,10 @@
 	api "github.com/lovagedyke/lovagedyke/internal/worker"
 )
 
-// maxTasks bounds the starts that a worker remembers.
+// maxTasks limits the number of tasks that a worker remembers.
 const maxTasks = 100_000
 
-// Result is the body of a done task's result.
+// Result is the JSON result of a completed task.
 type Result struct {
 	Worker string `json:"worker"`
 	Task   string `json:"task"`
@@ -23,7 +23,8 @@
 	Hash   uint64 `json:"body-hash,string"`
 }
 
-// runner runs tasks under leases. Its time is an argument.
+// runner simulates tasks under leases. Its methods get the current time as an
+// argument.
 type runner struct {
 	cfg    Config
 	faults Faults
@@ -37,11 +38,11 @@
 	return &runner{cfg: cfg, epochs: make(map[string]uint64), tasks: make(map[string]*task)}
 }
 
-// refusal is a reason for not doing what was asked; empty when it was done.
+// refusal is the reason why a call was refused, or empty.
 type refusal string
 
-// admit checks a caller's epoch and remembers the greatest one of each shard.
-func (r *runner) admit(shard string, epoch uint64) refusal {
+// checkEpoch refuses calls with an older epoch than the latest one of their shard.
+func (r *runner) checkEpoch(shard string, epoch uint64) refusal {
 	if epoch < r.epochs[shard] {
 		return api.ReasonStaleEpoch
 	}
@@ -49,7 +50,7 @@
 	return ""
 }
 
-// start runs the task unless its id is known; then the present status stands.
+// start starts the task. If its id is already known, it only returns the status.
 func (r *runner) start(now time.Time, start api.Start) (api.Status, refusal) {
 	if start.Incarnation != "" && start.Incarnation != r.cfg.Incarnation {
 		return api.Status{}, api.ReasonOtherIncarnation
@@ -57,19 +58,19 @@
 	if start.Shard == "" {
 		start.Shard = start.Queue
 	}
-	if why := r.admit(start.Shard, start.Epoch); why != "" {
-		return api.Status{}, why
+	if refused := r.checkEpoch(start.Shard, start.Epoch); refused != "" {
+		return api.Status{}, refused
 	}
 	r.advance(now)
-	if known, ok := r.tasks[start.ID]; ok {
-		return r.status(now, known), ""
+	if existing, ok := r.tasks[start.ID]; ok {
+		return r.status(now, existing), ""
 	}
-	if !within(start.Resources, r.cfg.Capacity) || len(r.tasks) >= maxTasks {
+	if !fits(start.Resources, r.cfg.Capacity) || len(r.tasks) >= maxTasks {
 		return api.Status{}, api.ReasonDoesNotFit
 	}
-	started := &task{start: start, job: readJob(start), state: api.Running, ran: true, rate: 1, began: now}
-	started.seen = now.Add(r.faults.SlowStart.Duration)
-	started.lease = now.Add(start.Lease.Duration)
+	started := &task{start: start, job: readJob(start), state: api.Running, ran: true, rate: 1, startedAt: now}
+	started.updatedAt = now.Add(r.faults.SlowStart.Duration)
+	started.leaseEnd = now.Add(start.Lease.Duration)
 	var resumed duration.Text
 	if resumed.UnmarshalText(start.Checkpoint) == nil {
 		started.progress = resumed.Duration
@@ -78,38 +79,38 @@
 	if r.faults.FailEverything {
 		started.finish(api.Failed, now, "worker-fails-everything")
 	}
-	if r.used().Memory > r.cfg.Capacity.Memory {
+	if r.totalUsage().Memory > r.cfg.Capacity.Memory {
 		started.finish(api.Failed, now, api.ReasonOutOfMemory)
 	}
 	return r.status(now, started), ""
 }
 
-// act carries out an order on a task.
-func (r *runner) act(now time.Time, id, action string, order api.Order) (api.Status, refusal) {
-	if why := r.admit(order.Shard, order.Epoch); why != "" {
-		return api.Status{}, why
+// execute executes an order on a task.
+func (r *runner) execute(now time.Time, id, action string, order api.Order) (api.Status, refusal) {
+	if refused := r.checkEpoch(order.Shard, order.Epoch); refused != "" {
+		return api.Status{}, refused
 	}
 	r.advance(now)
-	known, ok := r.tasks[id]
+	t, ok := r.tasks[id]
 	switch {
 	case !ok && action != api.StopAction:
 		return api.Status{}, api.ReasonNoTask
 	case !ok:
-		// A start that is still on its way finds its id taken.
-		known = &task{start: api.Start{ID: id, Epoch: order.Epoch}, state: api.Stopped, ended: now}
-		r.tasks[id] = known
-	case known.state == api.Running:
-		known.obey(now, action, order)
+		// A start with this id that arrives later will not run.
+		t = &task{start: api.Start{ID: id, Epoch: order.Epoch}, state: api.Stopped, endedAt: now}
+		r.tasks[id] = t
+	case t.state == api.Running:
+		t.apply(now, action, order)
 	}
-	return r.status(now, known), ""
+	return r.status(now, t), ""
 }
 
-// obey carries out an order on a running task.
-func (t *task) obey(now time.Time, action string, order api.Order) {
+// apply applies an order to a running task.
+func (t *task) apply(now time.Time, action string, order api.Order) {
 	t.start.Epoch = order.Epoch
 	switch action {
 	case api.RenewAction:
-		t.lease = now.Add(order.Lease.Duration)
+		t.leaseEnd = now.Add(order.Lease.Duration)
 	case api.StopAction:
 		t.finish(api.Stopped, now, "stopped")
 	case api.CheckpointAction:
@@ -119,23 +120,23 @@
 	}
 }
 
-// renew extends the leases of all named tasks that run.
+// renew extends the leases of the listed tasks that are running.
 func (r *runner) renew(now time.Time, renewal api.Renewal) (api.Renewed, refusal) {
-	if why := r.admit(renewal.Shard, renewal.Epoch); why != "" {
-		return api.Renewed{}, why
+	if refused := r.checkEpoch(renewal.Shard, renewal.Epoch); refused != "" {
+		return api.Renewed{}, refused
 	}
 	r.advance(now)
 	renewed := api.Renewed{Incarnation: r.cfg.Incarnation, Tasks: []api.Status{}}
 	order := api.Order{Epoch: renewal.Epoch, Lease: renewal.Lease}
 	for _, id := range renewal.IDs {
-		known, ok := r.tasks[id]
+		t, ok := r.tasks[id]
 		if !ok {
 			continue
 		}
-		if known.state == api.Running {
-			known.obey(now, api.RenewAction, order)
+		if t.state == api.Running {
+			t.apply(now, api.RenewAction, order)
 		}
-		renewed.Tasks = append(renewed.Tasks, r.status(now, known))
+		renewed.Tasks = append(renewed.Tasks, r.status(now, t))
 	}
 	return renewed, ""
 }
@@ -143,22 +144,22 @@
 // lookUp returns a task's status.
 func (r *runner) lookUp(now time.Time, id string) (api.Status, refusal) {
 	r.advance(now)
-	known, ok := r.tasks[id]
+	t, ok := r.tasks[id]
 	if !ok {
 		return api.Status{}, api.ReasonNoTask
 	}
-	return r.status(now, known), ""
+	return r.status(now, t), ""
 }
 
-// lagging returns a report that is up to the usage lag old.
-func (r *runner) lagging(now time.Time) api.Report {
+// laggedReport returns a report that may be as old as the usage lag.
+func (r *runner) laggedReport(now time.Time) api.Report {
 	if !r.report.At.IsZero() && now.Sub(r.report.At) < r.cfg.UsageLag {
 		return r.report
 	}
 	r.advance(now)
 	r.report = api.Report{Worker: r.cfg.Name, Incarnation: r.cfg.Incarnation, At: now, Capacity: r.cfg.Capacity}
-	for _, known := range r.tasks {
-		status := r.status(now, known)
+	for _, t := range r.tasks {
+		status := r.status(now, t)
 		status.Result = nil
 		r.report.Tasks = append(r.report.Tasks, status)
 	}
@@ -166,18 +167,18 @@
 	return r.report
 }
 
-// advance brings all tasks to now.
+// advance updates all tasks to the present.
 func (r *runner) advance(now time.Time) {
-	for _, known := range r.tasks {
-		known.advance(now)
+	for _, t := range r.tasks {
+		t.advance(now)
 	}
 }
 
-// used sums what the running tasks use.
-func (r *runner) used() api.Resources {
+// totalUsage returns the resources that all running tasks use.
+func (r *runner) totalUsage() api.Resources {
 	var sum api.Resources
-	for _, known := range r.tasks {
-		usage := known.usage()
+	for _, t := range r.tasks {
+		usage := t.usage()
 		sum.CPUs += usage.CPUs
 		sum.Memory += usage.Memory
 		sum.Accelerators += usage.Accelerators
@@ -185,7 +186,7 @@
 	return sum
 }
 
-// status describes a task to the caller.
+// status returns the status of a task.
 func (r *runner) status(now time.Time, t *task) api.Status {
 	status := api.Status{
 		ID:          t.start.ID,
@@ -197,7 +198,7 @@
 		Usage:       t.usage(),
 	}
 	if t.ran {
-		status.Age = duration.New(now.Sub(t.began))
+		status.Age = duration.New(now.Sub(t.startedAt))
 	}
 	switch t.state {
 	case api.Done:
@@ -208,7 +209,7 @@
 	return status
 }
 
-// result is what a done task hands back.
+// result returns the result of a completed task.
 func (r *runner) result(t *task) []byte {
 	data, err := json.Marshal(Result{
 		Worker: r.cfg.Name,
@@ -222,7 +223,7 @@
 	return data
 }
 
-// within reports whether the asked resources fit the capacity.
-func within(asked, capacity api.Resources) bool {
-	return asked.CPUs <= capacity.CPUs && asked.Memory <= capacity.Memory && asked.Accelerators <= capacity.Accelerators
+// fits reports whether the requested resources fit into the capacity.
+func fits(requested, capacity api.Resources) bool {
+	return requested.CPUs <= capacity.CPUs && requested.Memory <= capacity.Memory && requested.Accelerators <= capacity.Accelerators
 }
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,13 +1,13 @@
-// Package worker is a small fake of one worker: it runs tasks under leases,
-// each id at most once, and reports their usage with a lag.
+// Package worker simulates a worker for tests: it runs tasks under leases, each id
+// at most once, and reports their resource usage with a delay.
 //
 // # Usage
 //
 //	server := worker.New(worker.Config{Name: "worker-1", Incarnation: "a"})
 //	err := web.Serve(ctx, web.Config{Address: address, Handler: server.Handler(), Log: logger})
 //
-// A task's body may be a Job in JSON, which tells what the task really does.
-// Tasks run in the arithmetic of time alone: a call brings them to the present.
+// A task's body may be a Job in JSON, which describes what the task really does.
+// Tasks use no CPU: each call computes their progress from the elapsed time.
 package worker
 
 import (
@@ -23,15 +23,15 @@
 )
 
 const (
-	defaultCPUs   = 16
-	defaultMemory = 64 << 30
-	pausePoll     = 10 * time.Millisecond
+	defaultCPUs       = 16
+	defaultMemory     = 64 << 30
+	pausePollInterval = 10 * time.Millisecond
 )
 
-// Config describes the worker; a zero capacity means 16 CPUs and 64 GiB.
+// Config configures a worker. The default capacity is 16 CPUs and 64 GiB.
 type Config struct {
 	Name string
-	// Incarnation differs from process to process.
+	// Incarnation identifies the process; a restarted worker has another one.
 	Incarnation string
 	Capacity    api.Resources
 	UsageLag    time.Duration
@@ -39,20 +39,21 @@
 	Now func() time.Time
 }
 
-// Faults are the ways in which the worker misbehaves on request.
+// Faults are the faults that the worker injects.
 type Faults struct {
-	// FailEverything fails each task when it starts.
+	// FailEverything makes each task fail at its start.
 	FailEverything bool `json:"fail-everything,omitempty"`
 	// SlowStart is the time before a started task makes progress.
 	SlowStart duration.Text `json:"slow-start,omitzero"`
-	// LoseAnswers cuts the connection after that many calls took effect.
+	// LoseAnswers is the number of calls that take effect without a response; the
+	// connection is closed instead.
 	LoseAnswers int `json:"lose-answers,omitempty"`
-	// Paused holds every call until the pause ends; then it takes effect, even
-	// if its caller has left.
+	// Paused delays every call until the pause ends. It then takes effect, even if
+	// its caller has disconnected.
 	Paused bool `json:"paused,omitempty"`
 }
 
-// Run is one run that took place, as the worker saw it.
+// Run is the record of a run.
 type Run struct {
 	ID    string    `json:"id"`
 	Task  string    `json:"task"`
@@ -63,7 +64,7 @@
 	End   time.Time `json:"end,omitzero"`
 }
 
-// Stats is the answer to GET /standin/stats.
+// Stats is the response to GET /standin/stats.
 type Stats struct {
 	Worker      string         `json:"worker"`
 	Incarnation string         `json:"incarnation"`
@@ -71,7 +72,7 @@
 	Runs        []Run          `json:"runs"`
 }
 
-// Server is the fake. It is safe for concurrent use.
+// Server is a simulated worker. It is safe for concurrent use.
 type Server struct {
 	now func() time.Time
 
@@ -93,13 +94,13 @@
 	return &Server{now: cfg.Now, runner: newRunner(cfg)}
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the HTTP handler of the worker.
 func (s *Server) Handler() http.Handler {
 	router := httprouter.New()
 	router.POST(api.TasksPath, s.start)
 	router.GET(api.TasksPath, s.report)
 	router.POST(api.RenewPath, s.renew)
-	// Ids hold slashes, so that the action is the last element of the path.
+	// Ids may contain slashes, so the action is split from the path in the handler.
 	router.GET(api.TasksPath+"/*id", s.status)
 	router.POST(api.TasksPath+"/*id", s.act)
 	router.PUT("/standin/faults", s.putFaults)
@@ -119,7 +120,7 @@
 	if start.Task == "" {
 		start.Task = start.ID
 	}
-	s.do(w, func(now time.Time) (any, refusal) { return s.runner.start(now, start) })
+	s.handle(w, func(now time.Time) (any, refusal) { return s.runner.start(now, start) })
 }
 
 func (s *Server) act(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
@@ -134,12 +135,12 @@
 	if !web.ReadJSON(w, r, &order) {
 		return
 	}
-	s.do(w, func(now time.Time) (any, refusal) { return s.runner.act(now, id, action, order) })
+	s.handle(w, func(now time.Time) (any, refusal) { return s.runner.execute(now, id, action, order) })
 }
 
 func (s *Server) status(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
 	id := params.ByName("id")[1:]
-	s.do(w, func(now time.Time) (any, refusal) { return s.runner.lookUp(now, id) })
+	s.handle(w, func(now time.Time) (any, refusal) { return s.runner.lookUp(now, id) })
 }
 
 func (s *Server) renew(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -147,21 +148,21 @@
 	if !web.ReadJSON(w, r, &renewal) {
 		return
 	}
-	s.do(w, func(now time.Time) (any, refusal) { return s.runner.renew(now, renewal) })
+	s.handle(w, func(now time.Time) (any, refusal) { return s.runner.renew(now, renewal) })
 }
 
 func (s *Server) report(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	s.awaitPause()
+	s.waitWhilePaused()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	web.WriteJSON(w, http.StatusOK, s.runner.lagging(s.now()))
+	web.WriteJSON(w, http.StatusOK, s.runner.laggedReport(s.now()))
 }
 
-// do runs one call on the runner and answers with its outcome.
-func (s *Server) do(w http.ResponseWriter, call func(time.Time) (any, refusal)) {
-	s.awaitPause()
+// handle executes one call on the runner and writes the response.
+func (s *Server) handle(w http.ResponseWriter, call func(time.Time) (any, refusal)) {
+	s.waitWhilePaused()
 	s.mu.Lock()
-	answer, why := call(s.now())
+	answer, refused := call(s.now())
 	lost := s.runner.faults.LoseAnswers > 0
 	if lost {
 		s.runner.faults.LoseAnswers--
@@ -169,16 +170,16 @@
 	s.mu.Unlock()
 	switch {
 	case lost:
-		panic(http.ErrAbortHandler) // The server's own way to cut a connection.
-	case why == "":
+		panic(http.ErrAbortHandler) // net/http then closes the connection.
+	case refused == "":
 		web.WriteJSON(w, http.StatusOK, answer)
 	default:
-		web.WriteJSON(w, refusalStatus(why), api.Refusal{Reason: string(why)})
+		web.WriteJSON(w, refusalStatus(refused), api.Refusal{Reason: string(refused)})
 	}
 }
 
-// awaitPause returns when the worker is not paused.
-func (s *Server) awaitPause() {
+// waitWhilePaused returns as soon as the worker is not paused.
+func (s *Server) waitWhilePaused() {
 	for {
 		s.mu.Lock()
 		paused := s.runner.faults.Paused
@@ -186,7 +187,7 @@
 		if !paused {
 			return
 		}
-		time.Sleep(pausePoll)
+		time.Sleep(pausePollInterval)
 	}
 }
 
@@ -201,7 +202,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Stats returns the truth about what ran.
+// Stats returns the runs so far.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,29 +213,29 @@
 	web.WriteJSON(w, http.StatusOK, s.Stats())
 }
 
-// stats returns the truth about what ran.
+// stats returns the runs so far.
 func (r *runner) stats(now time.Time) Stats {
 	r.advance(now)
 	stats := Stats{Worker: r.cfg.Name, Incarnation: r.cfg.Incarnation, RunsPerTask: make(map[string]int), Runs: []Run{}}
-	for _, known := range r.tasks {
-		if !known.ran {
+	for _, t := range r.tasks {
+		if !t.ran {
 			continue
 		}
-		stats.RunsPerTask[known.start.Task]++
+		stats.RunsPerTask[t.start.Task]++
 		stats.Runs = append(stats.Runs, Run{
-			ID:    known.start.ID,
-			Task:  known.start.Task,
-			Queue: known.start.Queue,
-			Team:  known.start.Team,
-			State: known.state,
-			Start: known.began,
-			End:   known.ended,
+			ID:    t.start.ID,
+			Task:  t.start.Task,
+			Queue: t.start.Queue,
+			Team:  t.start.Team,
+			State: t.state,
+			Start: t.startedAt,
+			End:   t.endedAt,
 		})
 	}
 	return stats
 }
 
-// splitAction splits "/<id>/<action>".
+// splitAction splits "/<id>/<action>", where the id may contain slashes.
 func splitAction(path string) (id, action string) {
 	last := len(path) - 1
 	for last > 0 && path[last] != '/' {
@@ -246,9 +247,9 @@
 	return path[1:last], path[last+1:]
 }
 
-// refusalStatus is the HTTP status of a refusal.
-func refusalStatus(why refusal) int {
-	switch why {
+// refusalStatus returns the HTTP status of a refusal.
+func refusalStatus(reason refusal) int {
+	switch reason {
 	case api.ReasonNoTask:
 		return http.StatusNotFound
 	case api.ReasonDoesNotFit:
--- a/internal/standin/worker/worker_test.go
+++ b/internal/standin/worker/worker_test.go
@@ -26,16 +26,16 @@
 	lease = 30 * time.Second
 )
 
-// bench is a worker with a clock that the test moves.
-type bench struct {
+// testWorker is a worker with a clock that the test controls.
+type testWorker struct {
 	now     time.Time
 	server  *httptest.Server
 	client  *api.Client
 	address netip.AddrPort
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{now: time.Unix(1, 0)}
+func newTestWorker(t *testing.T) *testWorker {
+	b := &testWorker{now: time.Unix(1, 0)}
 	b.server = httptest.NewServer(worker.New(worker.Config{
 		Name:        "worker-1",
 		Incarnation: "a",
@@ -49,7 +49,7 @@
 	return b
 }
 
-func (b *bench) start(change func(*api.Start)) (api.Status, error) {
+func (b *testWorker) start(change func(*api.Start)) (api.Status, error) {
 	start := api.Start{
 		ID: id, Queue: "orders", Team: "reef", Lease: duration.New(lease), Epoch: 5,
 		RunTime: duration.New(time.Minute), Resources: api.Resources{CPUs: 1, Memory: 1 << 20},
@@ -60,7 +60,7 @@
 	return b.client.Start(context.Background(), b.address, start)
 }
 
-func (b *bench) faults(t *testing.T, body string) {
+func (b *testWorker) setFaults(t *testing.T, body string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPut, b.server.URL+"/standin/faults", strings.NewReader(body))
 	if err != nil {
@@ -93,10 +93,10 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.faults(t, tc.faults+strings.Repeat("{}", 1-min(1, len(tc.faults))))
+			b := newTestWorker(t)
+			b.setFaults(t, tc.faults+strings.Repeat("{}", 1-min(1, len(tc.faults))))
 			status, err := b.start(tc.change)
-			b.faults(t, "{}")
+			b.setFaults(t, "{}")
 			if got, want := err, tc.wantErr; !errors.Is(got, want) {
 				t.Fatalf("error: got %v, want %v", got, want)
 			}
@@ -107,11 +107,11 @@
 	}
 }
 
-func TestLife(t *testing.T) {
+func TestTaskLifecycle(t *testing.T) {
 	order := api.Order{Shard: "orders", Epoch: 5, Lease: duration.New(lease)}
 	tests := map[string]struct {
 		job  string
-		act  func(context.Context, *bench) (api.Status, error)
+		act  func(context.Context, *testWorker) (api.Status, error)
 		wait time.Duration
 		want api.State
 	}{
@@ -119,17 +119,17 @@
 		"runs under lease":  {wait: lease - 1, want: api.Running},
 		"ends before lapse": {job: `{"run-time":"1s"}`, wait: time.Hour, want: api.Done},
 		"fails by itself":   {job: `{"run-time":"1s","fail":"bad input"}`, wait: time.Hour, want: api.Failed},
-		"stopped": {wait: 0, want: api.Stopped, act: func(ctx context.Context, b *bench) (api.Status, error) {
+		"stopped": {wait: 0, want: api.Stopped, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
 			return b.client.Stop(ctx, b.address, id, order)
 		}},
-		"checkpointed": {wait: 0, want: api.Checkpointed, act: func(ctx context.Context, b *bench) (api.Status, error) {
+		"checkpointed": {wait: 0, want: api.Checkpointed, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
 			return b.client.Checkpoint(ctx, b.address, id, order)
 		}},
-		"renewed": {wait: lease, want: api.Running, act: func(ctx context.Context, b *bench) (api.Status, error) {
+		"renewed": {wait: lease, want: api.Running, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
 			b.now = b.now.Add(time.Second)
 			return b.client.Renew(ctx, b.address, id, api.Order{Shard: "orders", Epoch: 6, Lease: duration.New(time.Hour)})
 		}},
-		"renewed with others": {wait: lease, want: api.Running, act: func(ctx context.Context, b *bench) (api.Status, error) {
+		"renewed with others": {wait: lease, want: api.Running, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
 			b.now = b.now.Add(time.Second)
 			renewed, err := b.client.RenewAll(ctx, b.address, api.Renewal{Shard: "orders", Epoch: 5, Lease: duration.New(time.Hour), IDs: []string{"none", id}})
 			if len(renewed.Tasks) != 1 {
@@ -137,14 +137,14 @@
 			}
 			return renewed.Tasks[0], err
 		}},
-		"throttled": {job: `{"run-time":"1s"}`, wait: 2 * time.Second, want: api.Running, act: func(ctx context.Context, b *bench) (api.Status, error) {
+		"throttled": {job: `{"run-time":"1s"}`, wait: 2 * time.Second, want: api.Running, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
 			return b.client.Throttle(ctx, b.address, id, api.Order{Shard: "orders", Epoch: 5, Rate: 0.25})
 		}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			b := newBench(t)
+			b := newTestWorker(t)
 			if _, err := b.start(func(s *api.Start) { s.Body = []byte(tc.job) }); err != nil {
 				t.Fatal(err)
 			}
@@ -154,7 +154,7 @@
 				}
 			}
 			b.now = b.now.Add(tc.wait)
-			// A repeated start shows the present state and runs nothing.
+			// A repeated start returns the current state and runs nothing.
 			status, err := b.start(func(s *api.Start) { s.Epoch = 9 })
 			if err != nil {
 				t.Fatal(err)
@@ -168,7 +168,7 @@
 
 func TestStopBeforeStart(t *testing.T) {
 	ctx := context.Background()
-	b := newBench(t)
+	b := newTestWorker(t)
 	order := api.Order{Shard: "orders", Epoch: 5}
 	if _, err := b.client.Stop(ctx, b.address, id, order); err != nil {
 		t.Fatal(err)
@@ -190,9 +190,9 @@
 	}
 }
 
-func TestReportLags(t *testing.T) {
+func TestReportLag(t *testing.T) {
 	ctx := context.Background()
-	b := newBench(t)
+	b := newTestWorker(t)
 	for i, want := range []int{0, 0, 1} {
 		report, err := b.client.Report(ctx, b.address)
 		if err != nil {
