--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,16 +1,20 @@
-// Package soak runs nodes as separate processes against the platform's stand-in,
-// harms them from outside, and checks what callers and endpoints see meanwhile.
+// Package soak runs nodes as separate processes against the simulated platform,
+// injects faults, and checks the guarantees given to callers.
 //
-// Usage:
+// # Usage
 //
-//	report, err := soak.Run(ctx, soak.Config{Seed: 7, Length: 20 * time.Second, Dir: dir, NewProcess: start})
-//	// report.Violations lists broken promises; it must be empty.
+//	report, err := soak.Run(ctx, soak.Config{Seed: 7, Duration: 20 * time.Second, Dir: dir, NewProcess: start})
+//	// report.Violations must be empty.
 //
-// A seed gives a plan: processes that are killed, paused and stopped, alone, in
-// series and at once; connections to the store and to endpoints that are delayed,
-// reset, cut one way or silenced by a loopback proxy; a store that is away, loses
-// answers or forgets its history; endpoints that crash. Callers keep their
-// connections open. While it runs, no task may run twice at a time or again after
-// its end, and no accepted job may be unknown; once the harm is over, each accepted
-// job has to end whole, and no job that was refused may have run.
+// The faults are generated from the seed:
+//
+//   - processes are killed, paused or stopped: alone, in series, or all at once;
+//   - a loopback proxy delays, resets, cuts in one direction or silences connections
+//     to the store and to endpoints;
+//   - the store is unavailable, loses responses or forgets its history;
+//   - endpoints crash.
+//
+// Callers keep their connections open. At no time may a task run twice concurrently
+// or again after its end, and may an accepted job be unknown. After the last fault,
+// each accepted job has to complete, and no refused job may have run.
 package soak
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,48 +10,48 @@
 	"github.com/lovagedyke/lovagedyke/internal/loops"
 )
 
-// linkState is how a proxy treats its connections.
+// linkState is the fault that a proxy applies to its connections.
 type linkState int
 
 const (
-	linkWell linkState = iota
-	// linkDelayed bytes come late.
+	linkHealthy linkState = iota
+	// linkDelayed delays all bytes by linkDelay.
 	linkDelayed
-	// linkOneWay requests pass, and answers stay away.
+	// linkOneWay forwards requests and holds responses back.
 	linkOneWay
-	// linkSilent connections pass nothing, and stay open.
+	// linkSilent forwards nothing and keeps connections open.
 	linkSilent
 )
 
 const (
-	// linkDelay is how late delayed bytes come, linkCheck how often held ones look
-	// whether they may go on.
-	linkDelay = 250 * time.Millisecond
-	linkCheck = 20 * time.Millisecond
-	chunk     = 32 << 10
+	// linkDelay is the delay of linkDelayed. linkPollInterval is the time between
+	// two checks whether held bytes may be forwarded.
+	linkDelay        = 250 * time.Millisecond
+	linkPollInterval = 20 * time.Millisecond
+	bufferSize       = 32 << 10
 )
 
-// proxy passes connections on to a target and harms them when told to.
+// proxy forwards connections to a target and injects link faults.
 type proxy struct {
-	target netip.AddrPort
-	socket net.Listener
-	group  *loops.Group
+	target   netip.AddrPort
+	listener net.Listener
+	group    *loops.Group
 
 	mu    sync.Mutex
 	state linkState
 	conns map[net.Conn]bool
 }
 
-// newProxy opens a proxy on a port of its own; it ends with the group.
+// newProxy starts a proxy on a free port. It stops with the group.
 func newProxy(group *loops.Group, target netip.AddrPort) (*proxy, error) {
-	socket, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{target: target, socket: socket, group: group, conns: map[net.Conn]bool{}}
+	p := &proxy{target: target, listener: listener, group: group, conns: map[net.Conn]bool{}}
 	group.Go(func(ctx context.Context) {
 		stop := context.AfterFunc(ctx, func() {
-			_ = socket.Close()
+			_ = listener.Close()
 			p.reset()
 		})
 		defer stop()
@@ -61,22 +61,22 @@
 }
 
 func (p *proxy) address() netip.AddrPort {
-	return netip.MustParseAddrPort(p.socket.Addr().String())
+	return netip.MustParseAddrPort(p.listener.Addr().String())
 }
 
-func (p *proxy) set(state linkState) {
+func (p *proxy) setState(state linkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = state
 }
 
-func (p *proxy) get() linkState {
+func (p *proxy) getState() linkState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state
 }
 
-// reset breaks all open connections.
+// reset resets all open connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,54 +91,55 @@
 
 func (p *proxy) accept() {
 	for {
-		caller, err := p.socket.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.group.Go(func(ctx context.Context) { p.pass(ctx, caller) })
+		p.group.Go(func(ctx context.Context) { p.forward(ctx, client) })
 	}
 }
 
-// pass connects a caller with the target until one of them ends.
-func (p *proxy) pass(ctx context.Context, caller net.Conn) {
+// forward forwards a client's connection to the target until either side closes it.
+func (p *proxy) forward(ctx context.Context, client net.Conn) {
 	server, err := net.Dial("tcp", p.target.String())
 	if err != nil {
-		_ = caller.Close()
+		_ = client.Close()
 		return
 	}
 	p.mu.Lock()
-	p.conns[caller], p.conns[server] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
-	answers := make(chan struct{})
+	responsesDone := make(chan struct{})
 	p.group.Go(func(ctx context.Context) {
-		defer close(answers)
-		p.copy(ctx, caller, server, true)
+		defer close(responsesDone)
+		p.copy(ctx, client, server, true)
 	})
-	p.copy(ctx, server, caller, false)
-	<-answers
+	p.copy(ctx, server, client, false)
+	<-responsesDone
 	p.mu.Lock()
-	delete(p.conns, caller)
+	delete(p.conns, client)
 	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
-// copy passes bytes on, as the link's state allows, and closes both ends after.
-func (p *proxy) copy(ctx context.Context, to, from net.Conn, isAnswer bool) {
+// copy forwards the bytes of one direction, as the link's state allows, and then
+// closes both connections.
+func (p *proxy) copy(ctx context.Context, to, from net.Conn, isResponse bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
 	}()
-	buffer := make([]byte, chunk)
+	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if p.get() == linkDelayed {
+		if p.getState() == linkDelayed {
 			time.Sleep(linkDelay)
 		}
-		for state := p.get(); state == linkSilent || state == linkOneWay && isAnswer; state = p.get() {
+		for state := p.getState(); state == linkSilent || state == linkOneWay && isResponse; state = p.getState() {
 			if ctx.Err() != nil {
 				return
 			}
-			time.Sleep(linkCheck)
+			time.Sleep(linkPollInterval)
 		}
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -19,61 +19,63 @@
 )
 
 const (
-	// taskTime is how long a task takes; steps and tasks are those of each job.
-	taskTime     = 150 * time.Millisecond
-	steps, tasks = 2, 3
-	// jobEvery is the time between two jobs, callTime a caller's patience.
-	jobEvery = 80 * time.Millisecond
-	callTime = 3 * time.Second
-	// triesMost is how often a job is handed in, at another node each time.
-	triesMost = 5
-	// knownAfter is how long after its acceptance a job has to be known everywhere.
-	knownAfter = 3 * time.Second
-	// mendTime bounds the time until all jobs have ended once the harm is over.
-	mendTime = 90 * time.Second
-	// portsPerNode is how many ports a node has.
+	// taskTime is the run time of a task. Each job has stepsPerJob steps of
+	// tasksPerStep tasks.
+	taskTime                  = 150 * time.Millisecond
+	stepsPerJob, tasksPerStep = 2, 3
+	// jobInterval is the time between two jobs, callTimeout the timeout of a call.
+	jobInterval = 80 * time.Millisecond
+	callTimeout = 3 * time.Second
+	// maxAttempts is how often a job is submitted, to another node each time.
+	maxAttempts = 5
+	// maxPropagationDelay is the time after which all nodes have to know an accepted
+	// job.
+	maxPropagationDelay = 3 * time.Second
+	// recoveryTimeout limits the time from the last fault until all jobs have ended.
+	recoveryTimeout = 90 * time.Second
+	// portsPerNode is the number of ports on which a node listens.
 	portsPerNode = 3
 )
 
 // Config configures a soak.
 type Config struct {
 	Seed uint64
-	// Length is how long harm is done.
-	Length           time.Duration
+	// Duration is how long faults are injected and jobs submitted.
+	Duration         time.Duration
 	Nodes, Endpoints int
-	// Dir is a folder for settings and logs.
+	// Dir is the directory for the nodes' settings and logs.
 	Dir string
-	// NewProcess returns a node that runs with a settings file and logs to another.
+	// NewProcess returns a node with the given settings file and log file.
 	NewProcess func(settings, log string) Process
-	// FirstPort is the first of the nodes' ports, which have to be free.
+	// FirstPort is the first of the nodes' ports. They have to be free.
 	FirstPort uint16
 }
 
-// Process is a node in a process of its own.
+// Process is a node that runs as a separate process.
 type Process interface {
-	// Keep runs the node until ctx ends, and starts it again whenever it ends.
-	Keep(ctx context.Context)
-	// Signal sends the node a signal, if it runs.
+	// Keep runs the node until ctx ends, and restarts it whenever it exits.
+	Supervise(ctx context.Context)
+	// Signal sends a signal to the node if it is running.
 	Signal(signal syscall.Signal)
 }
 
-// Report is what a soak has seen.
+// Report is the result of a run.
 type Report struct {
-	Harms                          int
-	Accepted, Refused, Unsure, Ran int
-	// Violations are promises that were broken.
+	Faults                             int
+	Accepted, Refused, Uncertain, Runs int
+	// Violations describes the guarantees that were broken.
 	Violations []string
 }
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
-	config    Config
-	stage     *standin.Stage
-	group     *loops.Group
-	processes []Process
-	callers   []netip.AddrPort
-	stores    []*proxy
-	endpoints []*proxy
+	config          Config
+	platform        *standin.Stage
+	group           *loops.Group
+	processes       []Process
+	callerAddresses []netip.AddrPort
+	storeProxies    []*proxy
+	endpointProxies []*proxy
 
 	mu       sync.Mutex
 	accepted map[string]time.Time
@@ -81,151 +83,152 @@
 	refused  []string
 }
 
-// Run plays a seed's plan and checks what is seen. Its error is one of the soak
-// itself; broken promises are in the report.
+// Run injects the faults of a seed and checks the guarantees. It returns an error only
+// if the run could not be set up; violations are in the report.
 func Run(ctx context.Context, config Config) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s := &soak{config: config, group: loops.New(ctx), accepted: map[string]time.Time{}}
-	stage, err := standin.New(standin.Config{Hosts: config.Endpoints, TaskTime: taskTime, Expose: s.expose})
+	platform, err := standin.New(standin.Config{Hosts: config.Endpoints, TaskTime: taskTime, Expose: s.expose})
 	if err != nil {
-		return Report{}, errors.Wrap(err, "open the platform")
+		return Report{}, errors.Wrap(err, "start the simulated platform")
 	}
-	defer stage.Close()
-	s.stage = stage
-	stage.WritePolicy(1)
+	defer platform.Close()
+	s.platform = platform
+	platform.WritePolicy(1)
 	if err := s.startNodes(); err != nil {
 		cancel()
 		s.group.Wait()
 		return Report{}, err
 	}
-	s.play(ctx)
+	s.run(ctx)
 	cancel()
 	s.group.Wait()
 	return s.report, nil
 }
 
-// expose puts a proxy before an endpoint.
+// expose starts a proxy for an endpoint and returns the proxy's address.
 func (s *soak) expose(endpoint netip.AddrPort) netip.AddrPort {
-	door, err := newProxy(s.group, endpoint)
+	link, err := newProxy(s.group, endpoint)
 	if err != nil {
 		return endpoint
 	}
-	s.endpoints = append(s.endpoints, door)
-	return door.address()
+	s.endpointProxies = append(s.endpointProxies, link)
+	return link.address()
 }
 
-// startNodes starts each node with a proxy of its own before the store.
+// startNodes starts the nodes, each with its own proxy for the store.
 func (s *soak) startNodes() error {
 	loopback := netip.MustParseAddr("127.0.0.1")
 	for n := range s.config.Nodes {
-		door, err := newProxy(s.group, s.stage.Address())
+		link, err := newProxy(s.group, s.platform.Address())
 		if err != nil {
-			return errors.Wrap(err, "open a proxy before the store")
+			return errors.Wrap(err, "start a proxy for the store")
 		}
-		s.stores = append(s.stores, door)
+		s.storeProxies = append(s.storeProxies, link)
 		var ports [portsPerNode]netip.AddrPort
 		for i := range ports {
 			ports[i] = netip.AddrPortFrom(loopback, s.config.FirstPort+uint16(n*portsPerNode+i))
-			socket, err := net.Listen("tcp", ports[i].String())
+			listener, err := net.Listen("tcp", ports[i].String())
 			if err != nil {
-				return errors.Wrap(err, "a node's port is taken")
+				return errors.Wrap(err, "check that a node's port is free")
 			}
-			_ = socket.Close()
+			_ = listener.Close()
 		}
 		name := fmt.Sprintf("node-%d", n+1)
 		settings := filepath.Join(s.config.Dir, name+".json")
-		text := s.stage.SettingsThrough(name, ports[0], ports[1], ports[2], door.address())
+		text := s.platform.SettingsThrough(name, ports[0], ports[1], ports[2], link.address())
 		if err := os.WriteFile(settings, text, 0o600); err != nil {
 			return errors.Wrap(err, "write a node's settings")
 		}
 		p := s.config.NewProcess(settings, filepath.Join(s.config.Dir, name+".log"))
 		s.processes = append(s.processes, p)
-		s.callers = append(s.callers, ports[0])
-		s.group.Go(p.Keep)
+		s.callerAddresses = append(s.callerAddresses, ports[0])
+		s.group.Go(p.Supervise)
 	}
 	return nil
 }
 
-// play harms the system while callers hand jobs in, and then waits for their ends.
-func (s *soak) play(ctx context.Context) {
-	plan := Plan(s.config.Seed, s.config.Length, s.config.Nodes, s.config.Endpoints)
-	s.report.Harms = len(plan)
+// run injects the faults while callers submit jobs, then waits for the jobs to end
+// and checks their runs.
+func (s *soak) run(ctx context.Context) {
+	plan := Plan(s.config.Seed, s.config.Duration, s.config.Nodes, s.config.Endpoints)
+	s.report.Faults = len(plan)
 	calls := loops.New(ctx)
-	end := time.Now().Add(s.config.Length)
-	calls.Go(func(ctx context.Context) { s.handInJobs(ctx, end) })
-	calls.Go(func(ctx context.Context) { s.askStates(ctx, end) })
-	begun := time.Now()
-	harms := loops.New(ctx)
-	for _, harm := range plan {
-		harms.Go(func(ctx context.Context) {
-			sleep(ctx, time.Until(begun.Add(harm.At)))
-			s.do(ctx, harm)
+	end := time.Now().Add(s.config.Duration)
+	calls.Go(func(ctx context.Context) { s.submitJobs(ctx, end) })
+	calls.Go(func(ctx context.Context) { s.pollStates(ctx, end) })
+	start := time.Now()
+	faults := loops.New(ctx)
+	for _, fault := range plan {
+		faults.Go(func(ctx context.Context) {
+			sleep(ctx, time.Until(start.Add(fault.At)))
+			s.inject(ctx, fault)
 		})
 	}
-	harms.Wait()
-	s.restore()
+	faults.Wait()
+	s.clearFaults()
 	calls.Wait()
-	s.await(ctx)
-	s.check()
+	s.awaitJobs(ctx)
+	s.checkRuns()
 }
 
-// do does one harm and takes it back after its time.
-func (s *soak) do(ctx context.Context, harm Harm) {
-	during := func(begin, end func()) {
-		begin()
-		sleep(ctx, harm.For)
-		end()
+// inject injects a fault, and removes it after its duration.
+func (s *soak) inject(ctx context.Context, fault Fault) {
+	hold := func(start, stop func()) {
+		start()
+		sleep(ctx, fault.Duration)
+		stop()
 	}
-	link := func(door *proxy, state linkState) {
-		during(func() { door.set(state) }, func() { door.set(linkWell) })
+	setLink := func(door *proxy, state linkState) {
+		hold(func() { door.setState(state) }, func() { door.setState(linkHealthy) })
 	}
-	node := s.processes[harm.Target%len(s.processes)]
-	store, endpoint := s.stores[harm.Target%len(s.stores)], s.endpoints[harm.Target%len(s.endpoints)]
-	switch harm.Kind {
+	node := s.processes[fault.Target%len(s.processes)]
+	store, endpoint := s.storeProxies[fault.Target%len(s.storeProxies)], s.endpointProxies[fault.Target%len(s.endpointProxies)]
+	switch fault.Kind {
 	case Kill:
 		node.Signal(syscall.SIGKILL)
 	case Stop:
 		node.Signal(syscall.SIGTERM)
 	case Pause:
-		during(func() { node.Signal(syscall.SIGSTOP) }, func() { node.Signal(syscall.SIGCONT) })
+		hold(func() { node.Signal(syscall.SIGSTOP) }, func() { node.Signal(syscall.SIGCONT) })
 	case KillAll:
 		for _, p := range s.processes {
 			p.Signal(syscall.SIGKILL)
 		}
 	case StoreDelayed:
-		link(store, linkDelayed)
+		setLink(store, linkDelayed)
 	case StoreReset:
 		store.reset()
 	case StoreOneWay:
-		link(store, linkOneWay)
+		setLink(store, linkOneWay)
 	case StoreSilent:
-		link(store, linkSilent)
-	case StoreAway:
-		during(func() { s.stage.SetStoreAway(true) }, func() { s.stage.SetStoreAway(false) })
-	case StoreLoses:
-		during(func() { s.stage.SetLoseAnswers(true) }, func() { s.stage.SetLoseAnswers(false) })
-	case StoreForgets:
-		s.stage.ForgetHistory()
+		setLink(store, linkSilent)
+	case StoreUnavailable:
+		hold(func() { s.platform.SetStoreAway(true) }, func() { s.platform.SetStoreAway(false) })
+	case StoreLosesAnswers:
+		hold(func() { s.platform.SetLoseAnswers(true) }, func() { s.platform.SetLoseAnswers(false) })
+	case StoreForgetsHistory:
+		s.platform.ForgetHistory()
 	case EndpointDelayed:
-		link(endpoint, linkDelayed)
+		setLink(endpoint, linkDelayed)
 	case EndpointReset:
 		endpoint.reset()
 	case EndpointOneWay:
-		link(endpoint, linkOneWay)
+		setLink(endpoint, linkOneWay)
 	case EndpointSilent:
-		link(endpoint, linkSilent)
+		setLink(endpoint, linkSilent)
 	case EndpointCrash:
-		s.stage.CrashHost(harm.Target + 1)
+		s.platform.CrashHost(fault.Target + 1)
 	}
 }
 
-// restore ends all harm.
-func (s *soak) restore() {
-	s.stage.SetStoreAway(false)
-	s.stage.SetLoseAnswers(false)
-	for _, door := range append(s.stores, s.endpoints...) {
-		door.set(linkWell)
+// clearFaults removes all faults.
+func (s *soak) clearFaults() {
+	s.platform.SetStoreAway(false)
+	s.platform.SetLoseAnswers(false)
+	for _, link := range append(s.storeProxies, s.endpointProxies...) {
+		link.setState(linkHealthy)
 	}
 	for _, p := range s.processes {
 		p.Signal(syscall.SIGCONT)
@@ -234,22 +237,23 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n+1) }
 
-// handInJobs hands jobs in until the end, each at one node after the other until
-// it is accepted.
-func (s *soak) handInJobs(ctx context.Context, end time.Time) {
+// submitJobs submits jobs until the end.
+func (s *soak) submitJobs(ctx context.Context, end time.Time) {
 	attempts := loops.New(ctx)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		attempts.Go(func(ctx context.Context) { s.handIn(ctx, n) })
-		sleep(ctx, jobEvery)
+		attempts.Go(func(ctx context.Context) { s.submitJob(ctx, n) })
+		sleep(ctx, jobInterval)
 	}
 	attempts.Wait()
 }
 
-func (s *soak) handIn(ctx context.Context, n int) {
-	isUnsure := false
-	for try := range triesMost {
-		call, cancel := context.WithTimeout(ctx, callTime)
-		status := s.stage.Submit(call, s.callers[(n+try)%len(s.callers)], jobID(n), steps, tasks)
+// submitJob submits a job to one node after the other until one accepts it, at most
+// maxAttempts times.
+func (s *soak) submitJob(ctx context.Context, n int) {
+	uncertain := false
+	for attempt := range maxAttempts {
+		call, cancel := context.WithTimeout(ctx, callTimeout)
+		status := s.platform.Submit(call, s.callerAddresses[(n+attempt)%len(s.callerAddresses)], jobID(n), stepsPerJob, tasksPerStep)
 		cancel()
 		switch status {
 		case 200:
@@ -259,86 +263,86 @@
 			return
 		case 429, 503:
 		default:
-			// No answer, or one that does not say that it will never run.
-			isUnsure = true
+			// There was no response, or one that leaves open whether the job will run.
+			uncertain = true
 		}
-		sleep(ctx, time.Duration(try+1)*jobEvery)
+		sleep(ctx, time.Duration(attempt+1)*jobInterval)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if isUnsure {
-		s.report.Unsure++
+	if uncertain {
+		s.report.Uncertain++
 		return
 	}
 	s.refused = append(s.refused, jobID(n))
 }
 
-// askStates asks for accepted jobs at any node until the end.
-func (s *soak) askStates(ctx context.Context, end time.Time) {
+// pollStates asks random nodes for the state of random accepted jobs until the end.
+func (s *soak) pollStates(ctx context.Context, end time.Time) {
 	random := rand.New(rand.NewPCG(s.config.Seed, 1))
 	for time.Now().Before(end) && ctx.Err() == nil {
-		sleep(ctx, jobEvery)
+		sleep(ctx, jobInterval)
 		s.mu.Lock()
-		var known []string
+		var due []string
 		for id, at := range s.accepted {
-			if time.Since(at) > knownAfter {
-				known = append(known, id)
+			if time.Since(at) > maxPropagationDelay {
+				due = append(due, id)
 			}
 		}
 		s.mu.Unlock()
-		if len(known) == 0 {
+		if len(due) == 0 {
 			continue
 		}
-		id, node := known[random.IntN(len(known))], s.callers[random.IntN(len(s.callers))]
-		call, cancel := context.WithTimeout(ctx, callTime)
-		state, isUnknown := s.stage.StateOrUnknown(call, node, id)
+		id, node := due[random.IntN(len(due))], s.callerAddresses[random.IntN(len(s.callerAddresses))]
+		call, cancel := context.WithTimeout(ctx, callTimeout)
+		state, isUnknown := s.platform.StateOrUnknown(call, node, id)
 		cancel()
 		if isUnknown || state == "failed" || state == "cancelled" {
-			s.violated("job %s, accepted, is shown as %q (unknown: %v) by %s", id, state, isUnknown, node)
+			s.addViolation("accepted job %s has state %q (unknown: %v) at node %s", id, state, isUnknown, node)
 		}
 	}
 }
 
-// await waits until each accepted job has ended, or for mendTime.
-func (s *soak) await(ctx context.Context) {
-	end := time.Now().Add(mendTime)
+// awaitJobs waits until all accepted jobs are complete, at most recoveryTimeout.
+func (s *soak) awaitJobs(ctx context.Context) {
+	end := time.Now().Add(recoveryTimeout)
 	for id := range s.accepted {
 		for n := 0; ; n++ {
-			call, cancel := context.WithTimeout(ctx, callTime)
-			state, _ := s.stage.StateOrUnknown(call, s.callers[n%len(s.callers)], id)
+			call, cancel := context.WithTimeout(ctx, callTimeout)
+			state, _ := s.platform.StateOrUnknown(call, s.callerAddresses[n%len(s.callerAddresses)], id)
 			cancel()
 			if state == "complete" {
 				break
 			}
 			if time.Now().After(end) || ctx.Err() != nil {
-				s.violated("job %s, accepted, is shown as %q %s after the harm", id, state, mendTime)
+				s.addViolation("accepted job %s has state %q %s after the last fault", id, state, recoveryTimeout)
 				break
 			}
-			sleep(ctx, jobEvery)
+			sleep(ctx, jobInterval)
 		}
 	}
 }
 
-// check compares what the endpoints have run with what callers were told.
-func (s *soak) check() {
+// checkRuns compares the runs at the endpoints with the responses to callers.
+func (s *soak) checkRuns() {
 	for id := range s.accepted {
-		if got, want := s.stage.RanTasks(id), steps*tasks; got != want {
-			s.violated("job %s: %d tasks done, want %d", id, got, want)
+		if got, want := s.platform.RanTasks(id), stepsPerJob*tasksPerStep; got != want {
+			s.addViolation("accepted job %s: got %d tasks done, want %d", id, got, want)
 		}
 	}
 	for _, id := range s.refused {
-		if got := s.stage.RanTasks(id); got != 0 {
-			s.violated("job %s was refused at each try, and %d of its tasks ran", id, got)
+		if got := s.platform.RanTasks(id); got != 0 {
+			s.addViolation("job %s was refused at every attempt, but %d of its tasks ran", id, got)
 		}
 	}
-	seen := s.stage.Report()
-	for _, double := range seen.Doubles {
-		s.violated("%s, and was started again", double)
+	report := s.platform.Report()
+	for _, duplicate := range report.Doubles {
+		s.addViolation("%s, and was started again", duplicate)
 	}
-	s.report.Accepted, s.report.Refused, s.report.Ran = len(s.accepted), len(s.refused), seen.Runs
+	s.report.Accepted, s.report.Refused, s.report.Runs = len(s.accepted), len(s.refused), report.Runs
 }
 
-func (s *soak) violated(format string, args ...any) {
+func (s *soak) addViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Violations = append(s.report.Violations, fmt.Sprintf(format, args...))
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,28 +17,28 @@
 
 func TestPlan(t *testing.T) {
 	const nodes, endpoints = 3, 6
-	length := time.Minute
-	plan := Plan(7, length, nodes, endpoints)
-	if again := Plan(7, length, nodes, endpoints); !reflect.DeepEqual(plan, again) {
+	duration := time.Minute
+	plan := Plan(7, duration, nodes, endpoints)
+	if again := Plan(7, duration, nodes, endpoints); !reflect.DeepEqual(plan, again) {
 		t.Error("plan of the same seed: got another one")
 	}
-	if other := Plan(8, length, nodes, endpoints); reflect.DeepEqual(plan, other) {
+	if other := Plan(8, duration, nodes, endpoints); reflect.DeepEqual(plan, other) {
 		t.Error("plan of another seed: got the same one")
 	}
 	seen, crashes := map[Kind]bool{}, 0
 	for seed := range uint64(50) {
 		crashes = 0
-		for _, harm := range Plan(seed, length, nodes, endpoints) {
-			seen[harm.Kind] = true
-			if harm.Kind == EndpointCrash {
+		for _, fault := range Plan(seed, duration, nodes, endpoints) {
+			seen[fault.Kind] = true
+			if fault.Kind == EndpointCrash {
 				crashes++
 			}
-			most := nodes
-			if harm.isOfEndpoint() {
-				most = endpoints
+			limit := nodes
+			if fault.targetsEndpoint() {
+				limit = endpoints
 			}
-			if harm.Target < 0 || harm.Target >= most {
-				t.Fatalf("target of %v: got %d, want one below %d", harm.Kind, harm.Target, most)
+			if fault.Target < 0 || fault.Target >= limit {
+				t.Fatalf("target of %v: got %d, want one below %d", fault.Kind, fault.Target, limit)
 			}
 		}
 		if crashes > endpoints/2 {
@@ -52,83 +52,84 @@
 	}
 }
 
-// echo answers each line with itself.
-func echo(t *testing.T) netip.AddrPort {
+// startEchoServer starts a server that echoes all bytes.
+func startEchoServer(t *testing.T) netip.AddrPort {
 	t.Helper()
-	socket, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = socket.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			conn, err := socket.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() { _, _ = io.Copy(conn, conn) }()
 		}
 	}()
-	return netip.MustParseAddrPort(socket.Addr().String())
+	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
 func TestProxy(t *testing.T) {
-	const soon = 400 * time.Millisecond
+	const timeout = 400 * time.Millisecond
 	tests := map[string]struct {
-		harm func(p *proxy)
-		// wantHeld is true if the answer stays away, wantBroken if the connection ends.
+		inject func(p *proxy)
+		// wantHeld means that no response arrives, wantBroken that the connection is
+		// closed.
 		wantHeld, wantBroken bool
 	}{
-		"well":    {harm: func(*proxy) {}},
-		"late":    {harm: func(p *proxy) { p.set(linkDelayed) }},
-		"one way": {harm: func(p *proxy) { p.set(linkOneWay) }, wantHeld: true},
-		"silent":  {harm: func(p *proxy) { p.set(linkSilent) }, wantHeld: true},
-		"reset":   {harm: func(p *proxy) { p.reset() }, wantBroken: true},
+		"healthy": {inject: func(*proxy) {}},
+		"delayed": {inject: func(p *proxy) { p.setState(linkDelayed) }},
+		"one way": {inject: func(p *proxy) { p.setState(linkOneWay) }, wantHeld: true},
+		"silent":  {inject: func(p *proxy) { p.setState(linkSilent) }, wantHeld: true},
+		"reset":   {inject: func(p *proxy) { p.reset() }, wantBroken: true},
 	}
-	for name, c := range tests {
+	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			group := loops.New(ctx)
 			defer group.Wait()
 			defer cancel()
-			p, err := newProxy(group, echo(t))
+			p, err := newProxy(group, startEchoServer(t))
 			if err != nil {
 				t.Fatal(err)
 			}
-			caller := connect(t, p)
-			if err := caller.say(); err != nil {
-				t.Fatalf("before the harm: got %v, want an answer", err)
+			client := dial(t, p)
+			if err := client.roundTrip(); err != nil {
+				t.Fatalf("before the fault: got %v, want a response", err)
 			}
-			c.harm(p)
-			if c.wantHeld {
-				_ = caller.conn.SetReadDeadline(time.Now().Add(soon))
+			tc.inject(p)
+			if tc.wantHeld {
+				_ = client.conn.SetReadDeadline(time.Now().Add(timeout))
 			}
-			err = caller.say()
+			err = client.roundTrip()
 			isHeld := isTimeout(err)
-			if isBroken := err != nil && !isHeld; isHeld != c.wantHeld || isBroken != c.wantBroken {
-				t.Errorf("answer: got %v, want held %v, broken %v", err, c.wantHeld, c.wantBroken)
+			if isBroken := err != nil && !isHeld; isHeld != tc.wantHeld || isBroken != tc.wantBroken {
+				t.Errorf("response: got error %v, want held %v, broken %v", err, tc.wantHeld, tc.wantBroken)
 			}
 		})
 	}
 }
 
-// caller sends lines and reads their echo.
-type caller struct {
+// client sends lines and reads their echo.
+type client struct {
 	conn  net.Conn
 	lines *bufio.Reader
 }
 
-func connect(t *testing.T, p *proxy) caller {
+func dial(t *testing.T, p *proxy) client {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.address().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return caller{conn: conn, lines: bufio.NewReader(conn)}
+	return client{conn: conn, lines: bufio.NewReader(conn)}
 }
 
-func (c caller) say() error {
+func (c client) roundTrip() error {
 	if _, err := io.WriteString(c.conn, "x\n"); err != nil {
 		return err
 	}
