--- a/internal/experiment/chooser.go
+++ b/internal/experiment/chooser.go
@@ -6,7 +6,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/route"
 )
 
-// pickerChooser chooses with the route.Picker of the manager.
+// pickerChooser chooses with a route.Picker, the policy under test.
 type pickerChooser struct {
 	bench  *routeBench
 	picker *route.Picker
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,10 +1,10 @@
 // Package experiment compares the scheduling, routing, retry, pool and wave
 // policies with simpler baselines by simulation.
 //
-// It runs the packages of the manager (share, route, retry, pool, wave) in
-// virtual time against simulated callers, endpoints and hosts, with the sizes of
-// the deployed fleets. Each policy and its baselines run with the same seeds. The
-// result of a run depends only on its seed.
+// It runs the production packages share, route, retry, pool and wave in virtual
+// time against simulated callers, endpoints and hosts, with the sizes of the
+// deployed fleets. Each policy and its baselines run with the same seeds. The result
+// of a run depends only on its seed.
 //
 // # Usage
 //
--- a/internal/experiment/poolbench.go
+++ b/internal/experiment/poolbench.go
@@ -28,7 +28,7 @@
 	moveTimeP90       = 4800 * time.Millisecond
 	hostsPerRack      = 4
 	spareHosts        = 10
-	minimumSurvivors  = 2
+	minimumSurvivors  = 2 // hosts that a pool keeps if it loses its largest rack
 	sparePool         = "spare"
 	poolWarmUp        = 2 * time.Minute // a little more than two rounds of all queues
 	rackLostAt        = 5 * time.Minute
--- a/internal/experiment/poolpolicy.go
+++ b/internal/experiment/poolpolicy.go
@@ -19,7 +19,7 @@
 	"ripustus": {BufferCost: 0.5, Moves: 0.5, ShareNearness: 2, RollOutTime: 2},
 }
 
-// plannerPolicy is the pool.Planner of the manager.
+// plannerPolicy plans moves with a pool.Planner, the policy under test.
 type plannerPolicy struct{ planner *pool.Planner }
 
 func newPlannerPolicy(weights pool.Weights) func(*poolBench) poolPolicy {
--- a/internal/experiment/retrybench.go
+++ b/internal/experiment/retrybench.go
@@ -25,7 +25,7 @@
 	allow(now time.Time, a retry.Attempt) bool
 }
 
-// budgetPolicy is the retry.Budget of the manager.
+// budgetPolicy allows retries within a retry.Budget, the policy under test.
 type budgetPolicy struct{ budget *retry.Budget }
 
 func (p budgetPolicy) recordRequest() { p.budget.RecordRequest() }
@@ -43,8 +43,8 @@
 	return a.Number < p.attempts && now.Before(a.Deadline)
 }
 
-// retryBench simulates a service behind the route.Picker of the manager. There are
-// no schedulers, so that the load added by retries reaches the endpoints.
+// retryBench simulates a service whose entries choose endpoints with a route.Picker.
+// There are no schedulers, so that the load added by retries reaches the endpoints.
 type retryBench struct {
 	*engine
 	deployment   Deployment
--- a/internal/experiment/routebench.go
+++ b/internal/experiment/routebench.go
@@ -40,8 +40,8 @@
 	done(endpoint int, result route.Result, took time.Duration)
 }
 
-// routeBench simulates one service. Each entry has the share.Scheduler of the
-// manager and a chooser; endpoints queue the requests that exceed their slots.
+// routeBench simulates one service. Each entry has a share.Scheduler and a
+// chooser; endpoints queue the requests that exceed their slots.
 type routeBench struct {
 	*engine
 	deployment   Deployment
--- a/internal/experiment/sharepolicy.go
+++ b/internal/experiment/sharepolicy.go
@@ -9,7 +9,7 @@
 )
 
 // schedulerPolicy runs one share.Scheduler for each entry. With gossip it is the
-// policy of the manager; without, each entry schedules an even share of the slots.
+// policy under test; without, each entry schedules an even share of the slots.
 type schedulerPolicy struct {
 	bench   *shareBench
 	entries []*share.Scheduler
--- a/internal/experiment/wavebench.go
+++ b/internal/experiment/wavebench.go
@@ -60,13 +60,12 @@
 	repairedAt  time.Time
 }
 
-// wavePool is one pool with its policy. Shortage is the time in which it had fewer
-// serving hosts than it needs.
+// wavePool is one pool with its policy.
 type wavePool struct {
 	hosts    []*waveHost
 	need     int
 	policy   wavePolicy
-	shortage time.Duration
+	shortage time.Duration // time with fewer serving hosts than need
 }
 
 // waveHost is a host with the state of its drain and maintenance.
--- a/internal/experiment/wavetrials.go
+++ b/internal/experiment/wavetrials.go
@@ -23,7 +23,7 @@
 	isolated bool
 }
 
-// wavePolicies returns the wave.Wave of the manager, variants of it, and baselines.
+// wavePolicies returns the policy under test, variants of it, and baselines.
 func wavePolicies(d Deployment) []namedWavePolicy {
 	w := deploymentWeights[d.Name]
 	rollOut := 4 * w.RollOutTime / (w.BufferCost + w.Moves + w.ShareNearness + w.RollOutTime)
@@ -39,18 +39,18 @@
 	}
 }
 
-// productWave is the wave.Wave of the manager.
-type productWave struct{ wave *wave.Wave }
+// waveAdapter selects hosts with a wave.Wave, the policy under test.
+type waveAdapter struct{ wave *wave.Wave }
 
 func newWave(config wave.Config) func() wavePolicy {
-	return func() wavePolicy { return productWave{wave.New(config)} }
+	return func() wavePolicy { return waveAdapter{wave.New(config)} }
 }
 
-func (p productWave) start(now time.Time, view wave.View) []string {
+func (p waveAdapter) start(now time.Time, view wave.View) []string {
 	return p.wave.Step(now, view).Start
 }
 
-func (p productWave) resume(view wave.View) { p.wave.Resume(view) }
+func (p waveAdapter) resume(view wave.View) { p.wave.Resume(view) }
 
 // fixedFraction keeps a fixed fraction of the pool in maintenance, and at least one
 // host, regardless of other failures.
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -15,6 +15,7 @@
 //   - endpoints crash.
 //
 // Callers keep their connections open. At no time may a task run twice concurrently
-// or again after its end, and may an accepted job be unknown. After the last fault,
-// each accepted job has to complete, and no refused job may have run.
+// or again after its end, nor may a node report an accepted job as unknown. After
+// the last fault, each accepted job has to complete, and no refused job may have
+// run.
 package soak
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -95,8 +95,8 @@
 	return plan
 }
 
-func (h Fault) targetsEndpoint() bool {
-	switch h.Kind {
+func (f Fault) targetsEndpoint() bool {
+	switch f.Kind {
 	case EndpointDelayed, EndpointReset, EndpointOneWay, EndpointSilent, EndpointCrash:
 		return true
 	default:
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -53,7 +53,7 @@
 
 // Process is a node that runs as a separate process.
 type Process interface {
-	// Keep runs the node until ctx ends, and restarts it whenever it exits.
+	// Supervise runs the node until ctx ends, and restarts it whenever it exits.
 	Supervise(ctx context.Context)
 	// Signal sends a signal to the node if it is running.
 	Signal(signal syscall.Signal)
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -61,12 +61,12 @@
 
 // generator sends the requests of one run and collects the results.
 type generator struct {
-	cfg      Config
-	client   *http.Client
-	samples  *collector
-	start    time.Time
-	next     atomic.Int64
-	balancer *balancer
+	cfg       Config
+	client    *http.Client
+	samples   *collector
+	start     time.Time
+	nextIndex atomic.Int64
+	balancer  *balancer
 }
 
 // Run sends the load and returns a report of the responses. It ends early if ctx is
@@ -131,7 +131,7 @@
 // send sends requests until the run is over.
 func (g *generator) send(ctx context.Context) {
 	for {
-		index := g.next.Add(1) - 1
+		index := g.nextIndex.Add(1) - 1
 		if !g.waitUntilDue(ctx, index) {
 			return
 		}
--- a/internal/standin/web/web_test.go
+++ b/internal/standin/web/web_test.go
@@ -18,7 +18,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func TestServeRefusesOtherAddresses(t *testing.T) {
+func TestServeRejectsNonLoopbackAddresses(t *testing.T) {
 	for _, address := range []string{"0.0.0.0:0", "192.0.2.1:80"} {
 		err := web.Serve(context.Background(), web.Config{
 			Address: netip.MustParseAddrPort(address), Log: log.New(io.Discard),
--- a/internal/standin/worker/worker_test.go
+++ b/internal/standin/worker/worker_test.go
@@ -83,13 +83,13 @@
 		wantErr   error
 		wantState api.State
 	}{
-		"taken":             {wantState: api.Running},
-		"other incarnation": {change: func(s *api.Start) { s.Incarnation = "b" }, wantErr: api.ErrOtherIncarnation},
-		"too large":         {change: func(s *api.Start) { s.CPUs = 17 }, wantErr: api.ErrRefused},
-		"more than said":    {change: func(s *api.Start) { s.Body = []byte(`{"memory":99000000000}`) }, wantState: api.Failed},
-		"failing worker":    {faults: `{"fail-everything":true}`, wantState: api.Failed},
-		"answer lost":       {faults: `{"lose-answers":1}`, wantErr: api.ErrUnknown},
-		"paused":            {faults: `{"paused":true}`, wantErr: api.ErrUnknown},
+		"started":            {wantState: api.Running},
+		"other incarnation":  {change: func(s *api.Start) { s.Incarnation = "b" }, wantErr: api.ErrOtherIncarnation},
+		"too large":          {change: func(s *api.Start) { s.CPUs = 17 }, wantErr: api.ErrRefused},
+		"more than declared": {change: func(s *api.Start) { s.Body = []byte(`{"memory":99000000000}`) }, wantState: api.Failed},
+		"failing worker":     {faults: `{"fail-everything":true}`, wantState: api.Failed},
+		"answer lost":        {faults: `{"lose-answers":1}`, wantErr: api.ErrUnknown},
+		"paused":             {faults: `{"paused":true}`, wantErr: api.ErrUnknown},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
