--- a/internal/standin/web/web_test.go
+++ b/internal/standin/web/web_test.go
@@ -18,7 +18,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func TestServeRefusesOtherAddresses(t *testing.T) {
+func TestServeRejectsNonLoopbackAddresses(t *testing.T) {
 	for _, address := range []string{"0.0.0.0:0", "192.0.2.1:80"} {
 		err := web.Serve(context.Background(), web.Config{
 			Address: netip.MustParseAddrPort(address), Log: log.New(io.Discard),
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestServeFinishesRequests ends the server while a request is in flight.
+// TestServeFinishesRequests stops the server while a request is in flight, and checks
+// that the response is complete.
 func TestServeFinishesRequests(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	opened := make(chan string, 1)
--- a/test/soakprocess_test.go
+++ b/test/soakprocess_test.go
@@ -20,8 +20,8 @@
 	command *exec.Cmd
 }
 
-// Keep runs the node until ctx ends, and then kills it.
-func (p *soakProcess) Keep(ctx context.Context) {
+// Supervise runs the node until ctx ends, and then kills it.
+func (p *soakProcess) Supervise(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := p.runOnce(ctx); err != nil {
 			return
