--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -70,7 +70,7 @@
 // soak is the state of one run.
 type soak struct {
 	config          Config
-	platform        *standin.Stage
+	platform        *standin.Platform
 	group           *loops.Group
 	processes       []Process
 	callerAddresses []netip.AddrPort
@@ -137,7 +137,7 @@
 		}
 		name := fmt.Sprintf("node-%d", n+1)
 		settings := filepath.Join(s.config.Dir, name+".json")
-		text := s.platform.SettingsThrough(name, ports[0], ports[1], ports[2], link.address())
+		text := s.platform.SettingsWithStore(name, ports[0], ports[1], ports[2], link.address())
 		if err := os.WriteFile(settings, text, 0o600); err != nil {
 			return errors.Wrap(err, "write a node's settings")
 		}
@@ -205,11 +205,11 @@
 	case StoreSilent:
 		setLink(store, linkSilent)
 	case StoreUnavailable:
-		hold(func() { s.platform.SetStoreAway(true) }, func() { s.platform.SetStoreAway(false) })
+		hold(func() { s.platform.SetStoreDown(true) }, func() { s.platform.SetStoreDown(false) })
 	case StoreLosesAnswers:
 		hold(func() { s.platform.SetLoseAnswers(true) }, func() { s.platform.SetLoseAnswers(false) })
 	case StoreForgetsHistory:
-		s.platform.ForgetHistory()
+		s.platform.DropHistory()
 	case EndpointDelayed:
 		setLink(endpoint, linkDelayed)
 	case EndpointReset:
@@ -225,7 +225,7 @@
 
 // clearFaults removes all faults.
 func (s *soak) clearFaults() {
-	s.platform.SetStoreAway(false)
+	s.platform.SetStoreDown(false)
 	s.platform.SetLoseAnswers(false)
 	for _, link := range append(s.storeProxies, s.endpointProxies...) {
 		link.setState(linkHealthy)
@@ -295,7 +295,7 @@
 		}
 		id, node := due[random.IntN(len(due))], s.callerAddresses[random.IntN(len(s.callerAddresses))]
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		state, isUnknown := s.platform.StateOrUnknown(call, node, id)
+		state, isUnknown := s.platform.LookupState(call, node, id)
 		cancel()
 		if isUnknown || state == "failed" || state == "cancelled" {
 			s.addViolation("accepted job %s has state %q (unknown: %v) at node %s", id, state, isUnknown, node)
@@ -309,7 +309,7 @@
 	for id := range s.accepted {
 		for n := 0; ; n++ {
 			call, cancel := context.WithTimeout(ctx, callTimeout)
-			state, _ := s.platform.StateOrUnknown(call, s.callerAddresses[n%len(s.callerAddresses)], id)
+			state, _ := s.platform.LookupState(call, s.callerAddresses[n%len(s.callerAddresses)], id)
 			cancel()
 			if state == "complete" {
 				break
@@ -326,17 +326,17 @@
 // checkRuns compares the runs at the endpoints with the responses to callers.
 func (s *soak) checkRuns() {
 	for id := range s.accepted {
-		if got, want := s.platform.RanTasks(id), stepsPerJob*tasksPerStep; got != want {
+		if got, want := s.platform.EverDoneTasks(id), stepsPerJob*tasksPerStep; got != want {
 			s.addViolation("accepted job %s: got %d tasks done, want %d", id, got, want)
 		}
 	}
 	for _, id := range s.refused {
-		if got := s.platform.RanTasks(id); got != 0 {
+		if got := s.platform.EverDoneTasks(id); got != 0 {
 			s.addViolation("job %s was refused at every attempt, but %d of its tasks ran", id, got)
 		}
 	}
 	report := s.platform.Report()
-	for _, duplicate := range report.Doubles {
+	for _, duplicate := range report.DuplicateStarts {
 		s.addViolation("%s, and was started again", duplicate)
 	}
 	s.report.Accepted, s.report.Refused, s.report.Runs = len(s.accepted), len(s.refused), report.Runs
