--- a/cmd/lovagedyke-standin/cmd_fleet.go
+++ b/cmd/lovagedyke-standin/cmd_fleet.go
@@ -86,7 +86,7 @@
 }
 
 // writeSettings writes a settings file a node, and returns the callers' addresses.
-func writeSettings(stage *standin.Stage, options fleetOptions) ([]netip.AddrPort, error) {
+func writeSettings(stage *standin.Platform, options fleetOptions) ([]netip.AddrPort, error) {
 	var callers []netip.AddrPort
 	loopback := netip.MustParseAddr("127.0.0.1")
 	for n := range options.nodes {
@@ -103,7 +103,7 @@
 }
 
 // handIn hands a job in, at another node after each failure, as callers do.
-func handIn(ctx context.Context, stage *standin.Stage, nodes []netip.AddrPort, n int) error {
+func handIn(ctx context.Context, stage *standin.Platform, nodes []netip.AddrPort, n int) error {
 	end := time.Now().Add(jobTime)
 	for try := n; time.Now().Before(end) && ctx.Err() == nil; try++ {
 		call, cancel := context.WithTimeout(ctx, answerTime)
@@ -118,7 +118,7 @@
 }
 
 // awaitEnd waits until a job is shown as complete.
-func awaitEnd(ctx context.Context, stage *standin.Stage, nodes []netip.AddrPort, n int) bool {
+func awaitEnd(ctx context.Context, stage *standin.Platform, nodes []netip.AddrPort, n int) bool {
 	end := time.Now().Add(jobTime)
 	for try := n; time.Now().Before(end) && ctx.Err() == nil; try++ {
 		call, cancel := context.WithTimeout(ctx, answerTime)
@@ -137,7 +137,7 @@
 }
 
 // checkFleet prints what was seen; anything but whole jobs, each task once, is an error.
-func checkFleet(stage *standin.Stage, jobs, complete int) error {
+func checkFleet(stage *standin.Platform, jobs, complete int) error {
 	done := 0
 	for n := range jobs {
 		done += stage.DoneTasks(fleetJob(n))
@@ -147,8 +147,8 @@
 	fmt.Printf("%-32s %6d of %d\n", "jobs complete", complete, jobs)
 	fmt.Printf("%-32s %6d of %d\n", "tasks done", done, want)
 	fmt.Printf("%-32s %6d\n", "runs", seen.Runs)
-	fmt.Printf("%-32s %6d\n", "tasks started twice", len(seen.Doubles))
-	if complete != jobs || done != want || len(seen.Doubles) != 0 {
+	fmt.Printf("%-32s %6d\n", "tasks started twice", len(seen.DuplicateStarts))
+	if complete != jobs || done != want || len(seen.DuplicateStarts) != 0 {
 		return errors.New("not all is as it has to be")
 	}
 	return nil
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -68,7 +68,7 @@
 // soak is one run.
 type soak struct {
 	config    Config
-	stage     *standin.Stage
+	stage     *standin.Platform
 	group     *loops.Group
 	processes []Process
 	callers   []netip.AddrPort
@@ -135,7 +135,7 @@
 		}
 		name := fmt.Sprintf("node-%d", n+1)
 		settings := filepath.Join(s.config.Dir, name+".json")
-		text := s.stage.SettingsThrough(name, ports[0], ports[1], ports[2], door.address())
+		text := s.stage.SettingsWithStore(name, ports[0], ports[1], ports[2], door.address())
 		if err := os.WriteFile(settings, text, 0o600); err != nil {
 			return errors.Wrap(err, "write a node's settings")
 		}
@@ -202,11 +202,11 @@
 	case StoreSilent:
 		link(store, linkSilent)
 	case StoreAway:
-		during(func() { s.stage.SetStoreAway(true) }, func() { s.stage.SetStoreAway(false) })
+		during(func() { s.stage.SetStoreDown(true) }, func() { s.stage.SetStoreDown(false) })
 	case StoreLoses:
 		during(func() { s.stage.SetLoseAnswers(true) }, func() { s.stage.SetLoseAnswers(false) })
 	case StoreForgets:
-		s.stage.ForgetHistory()
+		s.stage.DropHistory()
 	case EndpointDelayed:
 		link(endpoint, linkDelayed)
 	case EndpointReset:
@@ -222,7 +222,7 @@
 
 // restore ends all harm.
 func (s *soak) restore() {
-	s.stage.SetStoreAway(false)
+	s.stage.SetStoreDown(false)
 	s.stage.SetLoseAnswers(false)
 	for _, door := range append(s.stores, s.endpoints...) {
 		door.set(linkWell)
@@ -291,7 +291,7 @@
 		}
 		id, node := known[random.IntN(len(known))], s.callers[random.IntN(len(s.callers))]
 		call, cancel := context.WithTimeout(ctx, callTime)
-		state, isUnknown := s.stage.StateOrUnknown(call, node, id)
+		state, isUnknown := s.stage.LookupState(call, node, id)
 		cancel()
 		if isUnknown || state == "failed" || state == "cancelled" {
 			s.violated("job %s, accepted, is shown as %q (unknown: %v) by %s", id, state, isUnknown, node)
@@ -305,7 +305,7 @@
 	for id := range s.accepted {
 		for n := 0; ; n++ {
 			call, cancel := context.WithTimeout(ctx, callTime)
-			state, _ := s.stage.StateOrUnknown(call, s.callers[n%len(s.callers)], id)
+			state, _ := s.stage.LookupState(call, s.callers[n%len(s.callers)], id)
 			cancel()
 			if state == "complete" {
 				break
@@ -322,17 +322,17 @@
 // check compares what the endpoints have run with what callers were told.
 func (s *soak) check() {
 	for id := range s.accepted {
-		if got, want := s.stage.RanTasks(id), steps*tasks; got != want {
+		if got, want := s.stage.EverDoneTasks(id), steps*tasks; got != want {
 			s.violated("job %s: %d tasks done, want %d", id, got, want)
 		}
 	}
 	for _, id := range s.refused {
-		if got := s.stage.RanTasks(id); got != 0 {
+		if got := s.stage.EverDoneTasks(id); got != 0 {
 			s.violated("job %s was refused at each try, and %d of its tasks ran", id, got)
 		}
 	}
 	seen := s.stage.Report()
-	for _, double := range seen.Doubles {
+	for _, double := range seen.DuplicateStarts {
 		s.violated("%s, and was started again", double)
 	}
 	s.report.Accepted, s.report.Refused, s.report.Ran = len(s.accepted), len(s.refused), seen.Runs
