--- a/internal/platform/api.go
+++ b/internal/platform/api.go
@@ -5,7 +5,7 @@
 // ProcessHeader names the calling process in every request to the platform.
 const ProcessHeader = "Lovagedyke-Process"
 
-// WorkerService is the service name under which the host list shows a worker.
+// WorkerService is the service name of workers in the list of hosts.
 const WorkerService = "worker"
 
 // Paths of the platform's HTTP interface.
@@ -14,7 +14,7 @@
 	ScanPath   = "/table/scan"
 	CommitPath = "/table/commit"
 	HostsPath  = "/hosts"
-	// RebootAction follows a host's path.
+	// RebootAction is appended to a host's path.
 	RebootAction = "/reboot"
 	ObjectPath   = "/objects/"
 )
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
-// BenchmarkHosts decodes the platform's list, as every process does at each
-// reading.
+// BenchmarkHosts measures the decoding of the platform's list of hosts, which every
+// process does each time it reads the list.
 func BenchmarkHosts(b *testing.B) {
 	for _, n := range []int{50, 200, 600, 1700} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// BenchmarkRows decodes the answer to a scan of rows as small as a host's
-// assignment.
+// BenchmarkRows measures the decoding of the answer to a scan of small rows, such as
+// hosts' assignments.
 func BenchmarkRows(b *testing.B) {
 	for _, n := range []int{50, 200, 600, 1700} {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,5 @@
-// Package platform is the adapter to the platform's HTTP services: the
-// transactional table, the object store and the lagging list of hosts.
+// Package platform is the client of the platform's HTTP services: the
+// transactional table, the object store and the list of hosts.
 //
 // # Usage
 //
@@ -12,10 +12,9 @@
 //	rows, err := client.Scan(ctx, "catalogue/")
 //	hosts, err := client.Hosts(ctx)
 //
-// Client implements table.Store with the errors that table.Store documents. A
-// call that the platform refused or that never reached it is
-// table.ErrUnavailable; a commit that was sent and whose answer did not come is
-// table.ErrUnknown.
+// Client implements table.Store with the errors that table.Store documents: a
+// call that the platform refused or never received is table.ErrUnavailable; a
+// commit that was sent and got no answer is table.ErrUnknown.
 package platform
 
 import (
@@ -35,19 +34,19 @@
 // ErrNoObject means that the object store holds no object of that name.
 var ErrNoObject = errors.New("object does not exist")
 
-// Config says where the platform is and who calls it.
+// Config configures a Client.
 type Config struct {
 	Address netip.AddrPort
 	// Process is sent with each call, for the platform's statistics.
 	Process string
-	// Timeout bounds each call; call.DefaultTimeout if zero.
+	// Timeout bounds each call; zero means call.DefaultTimeout.
 	Timeout time.Duration
 }
 
 // Client calls the platform. It is safe for concurrent use.
 type Client struct {
-	base   string
-	caller *call.Caller
+	baseURL string
+	caller  *call.Caller
 }
 
 var _ table.Store = (*Client)(nil)
@@ -56,50 +55,51 @@
 func New(cfg Config) *Client {
 	header := http.Header{ProcessHeader: {cfg.Process}}
 	return &Client{
-		base:   "http://" + cfg.Address.String(),
-		caller: call.New(call.Config{Timeout: cfg.Timeout, Header: header}),
+		baseURL: "http://" + cfg.Address.String(),
+		caller:  call.New(call.Config{Timeout: cfg.Timeout, Header: header}),
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.caller.Close()
 }
 
 // Get implements table.Store.
 func (c *Client) Get(ctx context.Context, keys ...string) ([]table.Row, error) {
-	rows, err := c.rows(ctx, GetPath, GetRequest{Keys: keys})
+	rows, err := c.readRows(ctx, GetPath, GetRequest{Keys: keys})
 	if err != nil {
 		return nil, err
 	}
 	if len(rows) != len(keys) {
-		return nil, errors.Wrapf(table.ErrUnavailable, "%d rows in answer to %d keys", len(rows), len(keys))
+		return nil, errors.Wrapf(table.ErrUnavailable, "get: platform returned %d rows for %d keys", len(rows), len(keys))
 	}
 	return rows, nil
 }
 
 // Scan implements table.Store.
 func (c *Client) Scan(ctx context.Context, prefix string) ([]table.Row, error) {
-	return c.rows(ctx, ScanPath, ScanRequest{Prefix: prefix})
+	return c.readRows(ctx, ScanPath, ScanRequest{Prefix: prefix})
 }
 
 // Commit implements table.Store.
 func (c *Client) Commit(ctx context.Context, txn table.Txn) error {
 	body, err := json.Marshal(txn)
 	if err != nil {
-		return errors.Wrap(err, "transaction cannot be encoded")
+		return errors.Wrap(err, "encode transaction")
 	}
-	answer, err := c.caller.Do(ctx, http.MethodPost, c.base+CommitPath, body)
+	answer, err := c.caller.Do(ctx, http.MethodPost, c.baseURL+CommitPath, body)
 	switch {
 	case errors.Is(err, call.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "commit: %v", err)
 	case err != nil && answer.Status != http.StatusConflict:
 		return errors.Wrapf(table.ErrUnknown, "commit: %v", err)
 	}
-	return commitOutcome(answer)
+	return errorFromAnswer(answer)
 }
 
-// Hosts returns the platform's lagging list of hosts, in name order.
+// Hosts returns the platform's list of hosts, in name order. The list lags behind
+// the hosts' actual states.
 func (c *Client) Hosts(ctx context.Context) ([]Host, error) {
 	var answer HostsAnswer
 	if err := c.read(ctx, http.MethodGet, HostsPath, nil, &answer); err != nil {
@@ -108,34 +108,34 @@
 	return answer.Hosts, nil
 }
 
-// Reboot has the platform restart a host. The list shows a greater Boot once
-// the host is back; asking again while it restarts changes nothing.
+// Reboot asks the platform to restart a host. Host.Boot has increased once the
+// host is back. Another request while the host restarts has no effect.
 func (c *Client) Reboot(ctx context.Context, name string) error {
-	answer, err := c.caller.Do(ctx, http.MethodPost, c.base+HostsPath+"/"+url.PathEscape(name)+RebootAction, nil)
+	answer, err := c.caller.Do(ctx, http.MethodPost, c.baseURL+HostsPath+"/"+url.PathEscape(name)+RebootAction, nil)
 	switch {
 	case errors.Is(err, call.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "reboot %q: %v", name, err)
 	case err != nil:
 		return errors.Wrapf(table.ErrUnknown, "reboot %q: %v", name, err)
 	}
-	return errors.Wrapf(commitOutcome(answer), "reboot %q", name)
+	return errors.Wrapf(errorFromAnswer(answer), "reboot %q", name)
 }
 
 // PutObject stores an object under name; storing it again replaces it.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
-	answer, err := c.caller.Do(ctx, http.MethodPut, c.base+objectPath(name), data)
+	answer, err := c.caller.Do(ctx, http.MethodPut, c.baseURL+objectPath(name), data)
 	switch {
 	case errors.Is(err, call.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "put object %q: %v", name, err)
 	case err != nil:
 		return errors.Wrapf(table.ErrUnknown, "put object %q: %v", name, err)
 	}
-	return errors.Wrapf(commitOutcome(answer), "put object %q", name)
+	return errors.Wrapf(errorFromAnswer(answer), "put object %q", name)
 }
 
 // GetObject returns the object's bytes, ErrNoObject or table.ErrUnavailable.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
-	answer, err := c.caller.Do(ctx, http.MethodGet, c.base+objectPath(name), nil)
+	answer, err := c.caller.Do(ctx, http.MethodGet, c.baseURL+objectPath(name), nil)
 	switch {
 	case err != nil:
 		return nil, errors.Wrapf(table.ErrUnavailable, "get object %q: %v", name, err)
@@ -147,11 +147,11 @@
 	return answer.Body, nil
 }
 
-// rows posts a read request and returns the rows of its answer.
-func (c *Client) rows(ctx context.Context, path string, request any) ([]table.Row, error) {
+// readRows posts a read request and returns the rows of its answer.
+func (c *Client) readRows(ctx context.Context, path string, request any) ([]table.Row, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "request cannot be encoded")
+		return nil, errors.Wrapf(err, "encode the request to %s", path)
 	}
 	var answer RowsAnswer
 	if err := c.read(ctx, http.MethodPost, path, body, &answer); err != nil {
@@ -160,9 +160,10 @@
 	return answer.Rows, nil
 }
 
-// read makes a call without effects; whatever goes wrong, nothing was written.
+// read makes a call without side effects, so every failure is
+// table.ErrUnavailable.
 func (c *Client) read(ctx context.Context, method, path string, body []byte, into any) error {
-	answer, err := c.caller.Do(ctx, method, c.base+path, body)
+	answer, err := c.caller.Do(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return errors.Wrapf(table.ErrUnavailable, "%s: %v", path, err)
 	}
@@ -170,29 +171,30 @@
 		return errors.Wrapf(table.ErrUnavailable, "%s: status %d", path, answer.Status)
 	}
 	if err := json.Unmarshal(answer.Body, into); err != nil {
-		return errors.Wrapf(table.ErrUnavailable, "%s: broken answer: %v", path, err)
+		return errors.Wrapf(table.ErrUnavailable, "%s: answer cannot be decoded: %v", path, err)
 	}
 	return nil
 }
 
-// commitOutcome maps the answer to a write onto the errors of table.Store.
-func commitOutcome(got call.Answer) error {
-	switch got.Status {
+// errorFromAnswer maps the answer to a write onto the errors of table.Store.
+func errorFromAnswer(answer call.Answer) error {
+	switch answer.Status {
 	case http.StatusOK, http.StatusNoContent:
 		return nil
 	case http.StatusConflict:
 		var conflict ConflictAnswer
-		// The status alone proves the conflict; the body only names the row.
-		_ = json.Unmarshal(got.Body, &conflict)
+		// A body that cannot be decoded is ignored: the status proves the conflict,
+		// and the body only names the row.
+		_ = json.Unmarshal(answer.Body, &conflict)
 		return &table.ConflictError{Key: conflict.Key, Want: conflict.Want, Got: conflict.Got}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusNotFound:
-		return errors.Wrapf(table.ErrUnavailable, "status %d", got.Status)
+		return errors.Wrapf(table.ErrUnavailable, "status %d", answer.Status)
 	default:
-		return errors.Wrapf(table.ErrUnknown, "status %d", got.Status)
+		return errors.Wrapf(table.ErrUnknown, "status %d", answer.Status)
 	}
 }
 
-// objectPath escapes the name whole, so that a slash in it stays part of it.
+// objectPath returns the path of an object. Slashes in the name are escaped.
 func objectPath(name string) string {
 	return ObjectPath + url.PathEscape(name)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -20,8 +20,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// outcome names the error of a call.
-func outcome(err error) string {
+// errorName returns a short name of a call's error.
+func errorName(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
@@ -37,7 +37,7 @@
 	return err.Error()
 }
 
-func answerWith(status int, body any) http.HandlerFunc {
+func respondWith(status int, body any) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_ = json.NewEncoder(w).Encode(body)
@@ -53,14 +53,14 @@
 		wantGet    string
 		wantObject string
 	}{
-		"applied":     {handler: answerWith(http.StatusOK, platform.RowsAnswer{Rows: []table.Row{{Key: "a"}}}), wantCommit: "ok", wantGet: "ok", wantObject: "ok"},
-		"conflict":    {handler: answerWith(http.StatusConflict, conflict), wantCommit: "conflict", wantGet: "unavailable", wantObject: "unavailable"},
-		"down":        {handler: answerWith(http.StatusServiceUnavailable, nil), wantCommit: "unavailable", wantGet: "unavailable", wantObject: "unavailable"},
-		"over rate":   {handler: answerWith(http.StatusTooManyRequests, nil), wantCommit: "unavailable", wantGet: "unavailable", wantObject: "unavailable"},
-		"not found":   {handler: answerWith(http.StatusNotFound, nil), wantCommit: "unavailable", wantGet: "unavailable", wantObject: "no-object"},
-		"broken":      {handler: answerWith(http.StatusInternalServerError, nil), wantCommit: "unknown", wantGet: "unavailable", wantObject: "unavailable"},
-		"cut":         {handler: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, wantCommit: "unknown", wantGet: "unavailable", wantObject: "unavailable"},
-		"timeout":     {handler: func(_ http.ResponseWriter, r *http.Request) { waitForCaller(r) }, wantCommit: "unknown", wantGet: "unavailable", wantObject: "unavailable"},
+		"applied":     {handler: respondWith(http.StatusOK, platform.RowsAnswer{Rows: []table.Row{{Key: "a"}}}), wantCommit: "ok", wantGet: "ok", wantObject: "ok"},
+		"conflict":    {handler: respondWith(http.StatusConflict, conflict), wantCommit: "conflict", wantGet: "unavailable", wantObject: "unavailable"},
+		"down":        {handler: respondWith(http.StatusServiceUnavailable, nil), wantCommit: "unavailable", wantGet: "unavailable", wantObject: "unavailable"},
+		"over rate":   {handler: respondWith(http.StatusTooManyRequests, nil), wantCommit: "unavailable", wantGet: "unavailable", wantObject: "unavailable"},
+		"not found":   {handler: respondWith(http.StatusNotFound, nil), wantCommit: "unavailable", wantGet: "unavailable", wantObject: "no-object"},
+		"error":       {handler: respondWith(http.StatusInternalServerError, nil), wantCommit: "unknown", wantGet: "unavailable", wantObject: "unavailable"},
+		"aborted":     {handler: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, wantCommit: "unknown", wantGet: "unavailable", wantObject: "unavailable"},
+		"timeout":     {handler: func(_ http.ResponseWriter, r *http.Request) { waitForDisconnect(r) }, wantCommit: "unknown", wantGet: "unavailable", wantObject: "unavailable"},
 		"no listener": {refuse: true, wantCommit: "unavailable", wantGet: "unavailable", wantObject: "unavailable"},
 	}
 	for name, tc := range tests {
@@ -77,23 +77,23 @@
 			defer client.Close()
 			ctx := context.Background()
 			err := client.Commit(ctx, table.Txn{Writes: []table.Write{{Key: "a"}}})
-			if got, want := outcome(err), tc.wantCommit; got != want {
+			if got, want := errorName(err), tc.wantCommit; got != want {
 				t.Errorf("commit: got %s, want %s", got, want)
 			}
 			_, err = client.Get(ctx, "a")
-			if got, want := outcome(err), tc.wantGet; got != want {
+			if got, want := errorName(err), tc.wantGet; got != want {
 				t.Errorf("get: got %s, want %s", got, want)
 			}
 			_, err = client.GetObject(ctx, "a")
-			if got, want := outcome(err), tc.wantObject; got != want {
+			if got, want := errorName(err), tc.wantObject; got != want {
 				t.Errorf("object: got %s, want %s", got, want)
 			}
 		})
 	}
 }
 
-// waitForCaller holds the answer back until the caller gives up.
-func waitForCaller(r *http.Request) {
+// waitForDisconnect returns when the caller has closed its connection.
+func waitForDisconnect(r *http.Request) {
 	buffer := make([]byte, 1024)
 	for {
 		if _, err := r.Body.Read(buffer); err != nil {
--- a/internal/platform/host.go
+++ b/internal/platform/host.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// State says whether a host may be given work.
+// State is a host's state, which determines whether it can be assigned work.
 type State string
 
 // States of a host in the platform's list.
@@ -12,7 +12,7 @@
 	Rebooting State = "rebooting"
 )
 
-// Endpoint is one service's listener on a host.
+// Endpoint is the address of a service on a host.
 type Endpoint struct {
 	Service     string         `json:"service"`
 	Address     netip.AddrPort `json:"address"`
@@ -20,7 +20,8 @@
 	Connections int            `json:"connections"`
 }
 
-// Host is one host as the platform lists it. The list lags behind the truth.
+// Host is an entry of the platform's list of hosts, which lags behind the hosts'
+// actual states.
 type Host struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data-centre"`
