--- a/internal/table/memory.go
+++ b/internal/table/memory.go
@@ -7,15 +7,15 @@
 	"sync"
 )
 
-// Faults are the ways in which a Memory misbehaves on request.
+// Faults selects the faults that a Memory injects.
 type Faults struct {
-	// Down refuses every call with ErrUnavailable.
+	// Down makes every call fail with ErrUnavailable.
 	Down bool
-	// LoseAnswers applies commits and then returns ErrUnknown.
+	// LoseAnswers makes Commit apply the transaction and then return ErrUnknown.
 	LoseAnswers bool
 }
 
-// Memory is a Store in memory, for the platform stand-in and for tests.
+// Memory is an in-memory Store for the platform stand-in and for tests.
 type Memory struct {
 	mu      sync.Mutex
 	rows    map[string]Row
@@ -28,7 +28,7 @@
 	return &Memory{rows: make(map[string]Row)}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (m *Memory) SetFaults(faults Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// row returns the row of key; the caller holds the lock.
+// row returns the row of key. The caller holds m.mu.
 func (m *Memory) row(key string) Row {
 	if row, ok := m.rows[key]; ok {
 		return row
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,13 +1,14 @@
-// Package table is the port to the platform's transactional table service.
+// Package table defines the interface of the platform's transactional table
+// service.
 //
-// Everything that must last or be agreed between processes is a row of this
-// table. A row has a key, a value (JSON by convention) and a version that the
-// store sets at each write; a version is never used twice for the same key.
+// All state that must survive restarts or be agreed on between processes is stored
+// in rows of this table. A row has a key, a value (JSON by convention) and a version
+// that the store sets at each write. No two writes of a key get the same version.
 //
 // # Usage
 //
-// Read the rows a decision rests on, then commit the writes on condition that
-// those rows still have the versions that were read:
+// Read the rows that a decision depends on, then commit the writes on condition
+// that those rows still have the versions that were read:
 //
 //	rows, err := store.Get(ctx, "pool/host-7")
 //	err = store.Commit(ctx, table.Txn{
@@ -15,7 +16,7 @@
 //		Writes:     []table.Write{{Key: "pool/host-7", Value: next}},
 //	})
 //	switch {
-//	case table.IsConflict(err): // another writer came first: read again
+//	case table.IsConflict(err): // a row has changed: read again
 //	case table.IsUnknown(err):  // may have taken effect: read to find out
 //	case err != nil:            // did not take effect
 //	}
@@ -31,41 +32,42 @@
 // Absent is the version of a key that has no row.
 const Absent uint64 = 0
 
-// ErrUnavailable means that the store did not take the call: nothing was written.
+// ErrUnavailable means that the store did not execute the call: nothing was written.
 var ErrUnavailable = errors.New("table is unavailable")
 
 // ErrUnknown means that the answer was lost: the writes may have taken effect.
 var ErrUnknown = errors.New("table answer was lost")
 
-// Row is one row as read. A missing row has version Absent and no value.
+// Row is a row as read. A row that does not exist has version Absent and no value.
 type Row struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value,omitempty"`
 	Version uint64 `json:"version"`
 }
 
-// Condition holds when the row's version is Version; Absent means no row.
+// Condition holds if the row has version Version; Absent requires that the row does
+// not exist.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 }
 
-// Write replaces the row's value, or removes the row.
+// Write sets the row's value, or deletes the row.
 type Write struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value,omitempty"`
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is applied whole or not at all.
+// Txn is a transaction: its writes are applied atomically if all conditions hold.
 type Txn struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Writes     []Write     `json:"writes,omitempty"`
 }
 
-// Store is the table service. Get returns one row for each key, in order;
-// Scan returns the rows whose keys start with prefix, in key order. Both see
-// one consistent state. Errors: ErrUnavailable, ErrUnknown (Commit only),
+// Store is the table service. Get returns one row for each key, in the order of the
+// keys; Scan returns the rows whose keys start with prefix, in key order. Both read
+// a consistent snapshot. Errors: ErrUnavailable, ErrUnknown (Commit only),
 // *ConflictError (Commit only).
 type Store interface {
 	Get(ctx context.Context, keys ...string) ([]Row, error)
@@ -73,7 +75,7 @@
 	Commit(ctx context.Context, txn Txn) error
 }
 
-// ConflictError names the first condition that did not hold. Nothing was written.
+// ConflictError reports the first condition that did not hold. Nothing was written.
 type ConflictError struct {
 	Key  string
 	Want uint64
@@ -96,11 +98,11 @@
 	return errors.Is(err, ErrUnknown)
 }
 
-// ErrHistoryLost means that the changes since a version are no longer known:
-// read the rows anew.
-var ErrHistoryLost = errors.New("table no longer has these changes")
+// ErrHistoryLost means that the store no longer has the changes since a version:
+// scan the rows again.
+var ErrHistoryLost = errors.New("table no longer has the changes since the requested version")
 
-// Change is a row that was written, or removed.
+// Change is a write or the removal of a row.
 type Change struct {
 	Row     Row
 	Removed bool
--- a/internal/table/version.go
+++ b/internal/table/version.go
@@ -4,7 +4,7 @@
 	"context"
 )
 
-// Versioner is a Store that tells which version the rows of a transaction got.
+// Versioner is a Store whose commits return the version of the written rows.
 type Versioner interface {
 	CommitVersion(ctx context.Context, txn Txn) (uint64, error)
 }
