--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,11 +9,11 @@
 	"github.com/lovagedyke/lovagedyke/internal/problem"
 )
 
-// shortestSecret is in characters.
-const shortestSecret = 32
+// minSecretLength is in characters.
+const minSecretLength = 32
 
-// check returns the mistakes that concern several settings. Settings that are
-// malformed or missing have their zero value and are reported elsewhere.
+// check returns mistakes in the combination of settings. Settings that are malformed
+// or missing have their zero value; they are reported by parseValues and Require.
 func (c Config) check(sourceOf func(string) string) problem.List {
 	var found problem.List
 	add := func(name, message, want string) {
@@ -25,7 +25,7 @@
 			add(port+"-certificate", "is set without its key or authority", fmt.Sprintf("%s-certificate, %s-key and %s-authority, or none", port, port, port))
 		}
 		if !files.Enabled() && at.IsValid() && !at.Addr().IsLoopback() {
-			add(port+"-address", fmt.Sprintf("%s is no loopback address and has no certificate", at), port+"-certificate, or a loopback address")
+			add(port+"-address", fmt.Sprintf("%s is not a loopback address and has no certificate", at), port+"-certificate, or a loopback address")
 		}
 	}
 	checkTLS("peer", c.PeerTLS, c.PeerAddress)
@@ -48,7 +48,7 @@
 	return found
 }
 
-// files returns the files that are set, by the setting's name.
+// files returns the names of the files that are set, by setting.
 func (c Config) files() map[string]string {
 	files := map[string]string{
 		"peer-certificate":     c.PeerTLS.Certificate,
@@ -68,45 +68,45 @@
 	return files
 }
 
-// Require reports the settings that a program of the role needs and that are
-// missing, as a problem.List.
+// Require returns a problem.List of the settings that the role requires and that are
+// missing.
 func (c Config) Require(role Role) error {
 	var found problem.List
-	need := func(present bool, name string) {
+	require := func(present bool, name string) {
 		if present {
 			return
 		}
-		d, _ := find(name)
+		d, _ := findDefinition(name)
 		found.Add(problem.Problem{Field: name, Message: "is missing", Want: d.want})
 	}
 	if c.Role != "" && c.Role != role {
 		found.Add(problem.Problem{Field: "role", Message: fmt.Sprintf("is %s", c.Role), Want: string(role)})
 	}
-	need(c.Name != "", "name")
-	need(c.Host != "", "host")
-	need(c.DataCentre != "", "data-centre")
-	need(c.PeerAddress.IsValid(), "peer-address")
-	need(c.OperationsAddress.IsValid(), "operations-address")
-	need(c.PlatformAddress.IsValid(), "platform-address")
+	require(c.Name != "", "name")
+	require(c.Host != "", "host")
+	require(c.DataCentre != "", "data-centre")
+	require(c.PeerAddress.IsValid(), "peer-address")
+	require(c.OperationsAddress.IsValid(), "operations-address")
+	require(c.PlatformAddress.IsValid(), "platform-address")
 	if role == RoleEntry {
-		need(c.CallerAddress.IsValid(), "caller-address")
+		require(c.CallerAddress.IsValid(), "caller-address")
 	}
 	if role == RoleManager {
-		need(c.OperatorAddress.IsValid(), "operator-address")
-		need(c.OperatorKeyFile != "", "operator-key-file")
+		require(c.OperatorAddress.IsValid(), "operator-address")
+		require(c.OperatorKeyFile != "", "operator-key-file")
 	}
 	return found.Err()
 }
 
-// ReadSecret reads a secret from a file, without the space around it.
+// ReadSecret reads a secret from a file and trims the space around it.
 func ReadSecret(file string) ([]byte, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	secret := strings.TrimSpace(string(content))
-	if len(secret) < shortestSecret {
-		return nil, fmt.Errorf("secret in %q has %d characters, want at least %d", file, len(secret), shortestSecret)
+	if len(secret) < minSecretLength {
+		return nil, fmt.Errorf("secret in %q has %d characters, want at least %d", file, len(secret), minSecretLength)
 	}
 	return []byte(secret), nil
 }
--- a/internal/settings/definitions.go
+++ b/internal/settings/definitions.go
@@ -12,11 +12,11 @@
 	"github.com/lovagedyke/lovagedyke/internal/bytesize"
 )
 
-// definition is one setting. Its name is the flag's, the INI file's and, in
-// capitals, the environment's.
+// definition defines a setting. Its name is the name of the flag and of the key in
+// the INI file; environmentName derives the environment variable from it.
 type definition struct {
 	section, name string
-	fallback      string
+	defaultValue  string
 	usage         string
 	// want describes valid values.
 	want  string
@@ -38,11 +38,11 @@
 	{"process", "data-centre", "", "data centre of this process", wantName, name(func(c *Config) *string { return &c.DataCentre })},
 	{"process", "role", "", "program that the settings are for; checked when set", "entry or manager", choice(func(c *Config) *Role { return &c.Role }, RoleEntry, RoleManager)},
 
-	{"addresses", "caller-address", "", "where an entry takes callers' requests", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.CallerAddress })},
-	{"addresses", "peer-address", "", "where the other processes of the system reach this one", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.PeerAddress })},
-	{"addresses", "operator-address", "", "where a manager takes operators' requests", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.OperatorAddress })},
-	{"addresses", "operations-address", "", "where metrics, health and the dump are served", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.OperationsAddress })},
-	{"addresses", "platform-address", "", "where the platform's services are", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.PlatformAddress })},
+	{"addresses", "caller-address", "", "address on which an entry accepts callers' requests", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.CallerAddress })},
+	{"addresses", "peer-address", "", "address on which this process accepts requests of the system's other processes", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.PeerAddress })},
+	{"addresses", "operator-address", "", "address on which a manager accepts operators' requests", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.OperatorAddress })},
+	{"addresses", "operations-address", "", "address on which metrics, health and the dump are served", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.OperationsAddress })},
+	{"addresses", "platform-address", "", "address of the platform's services", wantAddress, address(func(c *Config) *netip.AddrPort { return &c.PlatformAddress })},
 
 	{"security", "peer-certificate", "", "PEM certificate of the peer port", wantFile, text(func(c *Config) *string { return &c.PeerTLS.Certificate })},
 	{"security", "peer-key", "", "PEM key of the peer port", wantFile, text(func(c *Config) *string { return &c.PeerTLS.Key })},
@@ -53,32 +53,32 @@
 	{"security", "operator-authority", "", "PEM certificates of the authority that signs operators", wantFile, text(func(c *Config) *string { return &c.OperatorTLS.Authority })},
 	{"security", "operator-key-file", "", "file with the key that operators present", wantFile, text(func(c *Config) *string { return &c.OperatorKeyFile })},
 
-	{"log", "log-format", string(LogText), "form of the log lines", "text or json", choice(func(c *Config) *LogFormat { return &c.LogFormat }, LogText, LogJSON)},
-	{"log", "log-level", "info", "least level that is logged", "debug, info, warn or error", choice(func(c *Config) *string { return &c.LogLevel }, "debug", "info", "warn", "error")},
+	{"log", "log-format", string(LogText), "format of the log lines", "text or json", choice(func(c *Config) *LogFormat { return &c.LogFormat }, LogText, LogJSON)},
+	{"log", "log-level", "info", "lowest level that is logged", "debug, info, warn or error", choice(func(c *Config) *string { return &c.LogLevel }, "debug", "info", "warn", "error")},
 
-	{"stop", "grace", "30s", "bound on a planned stop", wantDuration, duration(func(c *Config) *time.Duration { return &c.Grace })},
-	{"stop", "balancer-delay", "5s", "time for the balancer to notice a planned stop", wantDuration, duration(func(c *Config) *time.Duration { return &c.BalancerDelay })},
+	{"stop", "grace", "30s", "time limit of a planned shutdown", wantDuration, duration(func(c *Config) *time.Duration { return &c.Grace })},
+	{"stop", "balancer-delay", "5s", "time for the balancer to notice a planned shutdown", wantDuration, duration(func(c *Config) *time.Duration { return &c.BalancerDelay })},
 
 	{"requests", "max-header", "64KiB", "largest header of a request", wantSize, size(func(c *Config) *int64 { return &c.MaxHeader })},
 	{"requests", "max-body", "1GiB", "largest body of a request, whatever the catalogue says", wantSize, size(func(c *Config) *int64 { return &c.MaxBody })},
-	{"requests", "read-header-timeout", "5s", "bound on reading a request's header", wantDuration, duration(func(c *Config) *time.Duration { return &c.ReadHeaderTimeout })},
+	{"requests", "read-header-timeout", "5s", "time limit for reading a request's header", wantDuration, duration(func(c *Config) *time.Duration { return &c.ReadHeaderTimeout })},
 
 	{"agreement", "gossip-interval", "100ms", "time between exchanges with peers", wantDuration, duration(func(c *Config) *time.Duration { return &c.GossipInterval })},
 	{"agreement", "poll-interval", "1s", "time between reads of the newest revision", wantDuration, duration(func(c *Config) *time.Duration { return &c.PollInterval })},
 	{"agreement", "fresh-bound", "3s", "how long keyed work is admitted after the configuration was confirmed", wantDuration, duration(func(c *Config) *time.Duration { return &c.FreshBound })},
-	{"agreement", "claim-retention", "24h", "how long the record of a marked request is kept", wantDuration, duration(func(c *Config) *time.Duration { return &c.ClaimRetention })},
+	{"agreement", "claim-retention", "24h", "how long the record of an idempotent request is kept", wantDuration, duration(func(c *Config) *time.Duration { return &c.ClaimRetention })},
 
-	{"agreement", "list-lag", "10s", "how far the platform's list of hosts may be behind", wantDuration, duration(func(c *Config) *time.Duration { return &c.ListLag })},
+	{"agreement", "list-lag", "10s", "how far the platform's list of hosts may lag behind", wantDuration, duration(func(c *Config) *time.Duration { return &c.ListLag })},
 
 	{"maintenance", "reboot-limit", "10m", "how long a host may take to come back in a wave", wantDuration, duration(func(c *Config) *time.Duration { return &c.RebootLimit })},
 
 	{"weights", "buffer-cost", "1", "weight of idle spare hosts", wantWeight, weight(func(c *Config) *float64 { return &c.Weights.BufferCost })},
 	{"weights", "moves", "1", "weight of hosts' moves between pools", wantWeight, weight(func(c *Config) *float64 { return &c.Weights.Moves })},
-	{"weights", "share-nearness", "1", "weight of how near each team comes to its share", wantWeight, weight(func(c *Config) *float64 { return &c.Weights.ShareNearness })},
+	{"weights", "share-nearness", "1", "weight of how close each team comes to its share", wantWeight, weight(func(c *Config) *float64 { return &c.Weights.ShareNearness })},
 	{"weights", "roll-out-time", "1", "weight of the time that maintenance waves take", wantWeight, weight(func(c *Config) *float64 { return &c.Weights.RollOutTime })},
 }
 
-func names() []string {
+func settingNames() []string {
 	all := make([]string, len(definitions))
 	for i, d := range definitions {
 		all[i] = d.name
@@ -86,7 +86,7 @@
 	return all
 }
 
-func find(name string) (definition, bool) {
+func findDefinition(name string) (definition, bool) {
 	i := slices.IndexFunc(definitions, func(d definition) bool { return d.name == name })
 	if i < 0 {
 		return definition{}, false
@@ -94,6 +94,7 @@
 	return definitions[i], true
 }
 
+// setter parses text and sets a field of c.
 type setter func(c *Config, text string) error
 
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
@@ -158,12 +159,12 @@
 	}
 }
 
-const heaviestWeight = 100
+const maxWeight = 100
 
 func weight(field func(*Config) *float64) setter {
 	return func(c *Config, text string) error {
 		parsed, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(parsed >= 0 && parsed <= heaviestWeight) {
+		if err != nil || !(parsed >= 0 && parsed <= maxWeight) {
 			return fmt.Errorf("weight %q is malformed", text)
 		}
 		*field(c) = parsed
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -20,10 +20,10 @@
 )
 
 // Load reads the settings and returns the arguments that follow the flags.
-// The error is a problem.List of every mistake, or flag.ErrHelp.
+// The error is a problem.List of all mistakes, or flag.ErrHelp.
 func Load(args []string, getenv func(string) string) (Config, []string, error) {
 	l := &loader{values: make(map[string]*value)}
-	flags := l.flagSet()
+	flags := l.newFlagSet()
 	l.readEnvironment(flags, getenv)
 	l.source = "flag"
 	err := ff.Parse(flags, args, ff.WithConfigFileFlag(fileFlag), ff.WithConfigFileParser(l.readFile))
@@ -31,15 +31,15 @@
 	case errors.Is(err, flag.ErrHelp):
 		return Config{}, nil, flag.ErrHelp
 	case err != nil:
-		l.problems.Add(argumentProblem(err))
+		l.problems.Add(flagProblem(err))
 	}
-	config := l.config()
+	config := l.parseValues()
 	config.Incarnation = newIncarnation(time.Now())
 	l.problems = append(l.problems, config.check(l.sourceOf)...)
 	return config, flags.Args(), l.problems.Err()
 }
 
-// Usage writes all settings with their defaults, by section.
+// Usage writes all settings with their defaults to w, by section.
 func Usage(w io.Writer) {
 	section := ""
 	for _, d := range definitions {
@@ -48,15 +48,15 @@
 			fmt.Fprintf(w, "[%s]\n", section)
 		}
 		fmt.Fprintf(w, "  -%-22s %s", d.name, d.usage)
-		if d.fallback != "" {
-			fmt.Fprintf(w, " (default %s)", d.fallback)
+		if d.defaultValue != "" {
+			fmt.Fprintf(w, " (default %s)", d.defaultValue)
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// loader collects the text of each setting with its source, so that all can be
-// judged together at the end.
+// loader collects the text and the source of each setting. The settings are parsed
+// at the end, so that all mistakes are reported together.
 type loader struct {
 	values   map[string]*value
 	source   string
@@ -64,7 +64,7 @@
 	problems problem.List
 }
 
-// value is a flag.Value that takes any text.
+// value is a flag.Value that accepts any text and records its source.
 type value struct {
 	loader *loader
 	text   string
@@ -83,12 +83,12 @@
 	return nil
 }
 
-func (l *loader) flagSet() *flag.FlagSet {
+func (l *loader) newFlagSet() *flag.FlagSet {
 	flags := flag.NewFlagSet("lovagedyke", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	flags.StringVar(&l.file, fileFlag, "", "INI file with settings")
 	for _, d := range definitions {
-		v := &value{loader: l, text: d.fallback}
+		v := &value{loader: l, text: d.defaultValue}
 		l.values[d.name] = v
 		flags.Var(v, d.name, d.usage)
 	}
@@ -99,13 +99,13 @@
 	return environmentPrefix + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-// readEnvironment sets flags before ff does, which leaves those alone that the
-// file sets too.
+// readEnvironment sets flags from the environment before ff reads the file. ff does
+// not overwrite flags that are already set.
 func (l *loader) readEnvironment(flags *flag.FlagSet, getenv func(string) string) {
-	for _, name := range append(names(), fileFlag) {
+	for _, name := range append(settingNames(), fileFlag) {
 		l.source = environmentName(name)
 		if text := getenv(l.source); text != "" {
-			_ = flags.Set(name, text) // value.Set takes any text
+			_ = flags.Set(name, text) // value.Set accepts any text
 		}
 	}
 }
@@ -114,13 +114,13 @@
 func (l *loader) readFile(r io.Reader, set func(name, value string) error) error {
 	content, err := io.ReadAll(r)
 	if err != nil {
-		return fmt.Errorf("settings file %q is unreadable: %w", l.file, err)
+		return fmt.Errorf("read settings file %q: %w", l.file, err)
 	}
 	file, problems := inifile.Parse(l.file, content)
 	l.problems = append(l.problems, problems...)
 	for _, section := range file.Sections {
 		for _, key := range section.Keys {
-			if !l.known(section, key) {
+			if !l.checkKey(section, key) {
 				continue
 			}
 			l.source = fmt.Sprintf("%s:%d", l.file, key.Line)
@@ -132,14 +132,16 @@
 	return nil
 }
 
-func (l *loader) known(section inifile.Section, key inifile.Key) bool {
+// checkKey reports whether key is a setting of section, and records a problem if it
+// is not.
+func (l *loader) checkKey(section inifile.Section, key inifile.Key) bool {
 	p := problem.Problem{File: l.file, Line: key.Line, Field: key.Name}
-	d, ok := find(key.Name)
+	d, ok := findDefinition(key.Name)
 	switch {
 	case !ok:
-		p.Message, p.Want = "is unknown", problem.Unknown(key.Name, names())
+		p.Message, p.Want = "is unknown", problem.Unknown(key.Name, settingNames())
 	case d.section != section.Name:
-		p.Message, p.Want = fmt.Sprintf("stands in [%s]", section.Name), "["+d.section+"]"
+		p.Message, p.Want = fmt.Sprintf("is in section [%s]", section.Name), "["+d.section+"]"
 	default:
 		return true
 	}
@@ -147,6 +149,7 @@
 	return false
 }
 
+// sourceOf returns where a setting was set, or the settings file if it was not set.
 func (l *loader) sourceOf(name string) string {
 	if v := l.values[name]; v != nil && v.set {
 		return v.source
@@ -154,8 +157,9 @@
 	return l.file
 }
 
-// config parses the texts; what is malformed keeps its zero value.
-func (l *loader) config() Config {
+// parseValues parses the collected texts. Malformed settings are recorded as
+// problems and keep their zero value.
+func (l *loader) parseValues() Config {
 	var config Config
 	for _, d := range definitions {
 		v := l.values[d.name]
@@ -169,10 +173,11 @@
 	return config
 }
 
-func argumentProblem(err error) problem.Problem {
+// flagProblem converts an error of flag parsing to a problem.
+func flagProblem(err error) problem.Problem {
 	text := err.Error()
-	if _, name, unknown := strings.Cut(text, "flag provided but not defined: -"); unknown {
-		return problem.Problem{File: "flag", Field: name, Message: "is unknown", Want: problem.Unknown(name, append(names(), fileFlag))}
+	if _, name, found := strings.Cut(text, "flag provided but not defined: -"); found {
+		return problem.Problem{File: "flag", Field: name, Message: "is unknown", Want: problem.Unknown(name, append(settingNames(), fileFlag))}
 	}
 	return problem.Problem{Message: text}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/settings"
 )
 
-func TestLoadOrderOfSources(t *testing.T) {
+func TestLoadPrecedence(t *testing.T) {
 	const file = "[stop]\ngrace = 10s\nbalancer-delay = 1s\n[weights]\nmoves = 2.5\n"
 	tests := map[string]struct {
 		args []string
@@ -69,12 +69,12 @@
 	got := strings.ReplaceAll(err.Error(), path, "f")
 	want := []string{
 		`f:4: caller-adress is unknown (want "caller-address")`,
-		`f:6: moves stands in [addresses] (want [weights])`,
+		`f:6: moves is in section [addresses] (want [weights])`,
 		`f:5: peer-address "localhost:2" is malformed (want an IP number and port such as 127.0.0.1:8080)`,
 		`LOVAGEDYKE_LOG_FORMAT: log-format "xml" is malformed (want text or json)`,
 		`f:2: grace "10" is malformed (want a duration with its unit, such as 2s or 500ms)`,
 		`f:8: poll-interval is 4s (want less than fresh-bound, 3s)`,
-		`flag: operator-address 10.0.0.1:3 is no loopback address and has no certificate (want operator-certificate, or a loopback address)`,
+		`flag: operator-address 10.0.0.1:3 is not a loopback address and has no certificate (want operator-certificate, or a loopback address)`,
 	}
 	if want := strings.Join(want, "\n"); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
@@ -91,22 +91,22 @@
 
 func TestRequire(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1")
-	whole := settings.Config{
+	complete := settings.Config{
 		Name: "a", Host: "h", DataCentre: "b", CallerAddress: address, PeerAddress: address,
 		OperatorAddress: address, OperationsAddress: address, PlatformAddress: address, OperatorKeyFile: "k",
 	}
-	entry, wrong := whole, whole
+	entry, otherRole := complete, complete
 	entry.OperatorKeyFile = ""
-	wrong.Role = settings.RoleEntry
+	otherRole.Role = settings.RoleEntry
 	tests := map[string]struct {
 		config settings.Config
 		role   settings.Role
 		want   string
 	}{
-		"whole":              {whole, settings.RoleManager, ""},
-		"entry without key":  {entry, settings.RoleEntry, ""},
-		"manager with none":  {entry, settings.RoleManager, "operator-key-file is missing (want a file name)"},
-		"of another program": {wrong, settings.RoleManager, "role is entry (want manager)"},
+		"complete":            {complete, settings.RoleManager, ""},
+		"entry without key":   {entry, settings.RoleEntry, ""},
+		"manager without key": {entry, settings.RoleManager, "operator-key-file is missing (want a file name)"},
+		"other role":          {otherRole, settings.RoleManager, "role is entry (want manager)"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestManualNamesEverySetting(t *testing.T) {
+func TestManualListsAllSettings(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "man", "lovagedyke-settings.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	for line := range strings.Lines(usage.String()) {
 		flag, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 		if want := strings.TrimPrefix(flag, "-"); !strings.Contains(string(page), want) {
-			t.Errorf("got no %s on the page", want)
+			t.Errorf("setting %s is missing on the manual page", want)
 		}
 	}
 }
