--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -1,13 +1,13 @@
-// Package keyring holds the teams' keys, hashed.
+// Package keyring stores the hashes of the teams' API keys and checks presented keys.
 //
 // # Usage
 //
-// A new key is shown once; only its hash is kept:
+// A new key is shown once; only its hash is stored:
 //
 //	secret, key, err := keyring.New(rand.Reader, "acme")
 //	fmt.Println(secret.Reveal())
 //
-// A Keyring is immutable, so any number of goroutines may check against it:
+// A Keyring is immutable and safe for concurrent use:
 //
 //	team, ok := ring.Check(presented)
 package keyring
@@ -35,17 +35,18 @@
 	keyLength    = len(prefix) + idLength + 1 + secretLength
 )
 
-// Secret is a whole key in the form "lk_<id>_<secret>". It prints as its id.
+// Secret is a complete key in the form "lk_<id>_<secret>". It is printed without the
+// secret.
 type Secret struct {
 	id, text string
 }
 
-// Reveal returns the key to hand to its team.
+// Reveal returns the complete key, which is to be passed on to its team.
 func (s Secret) Reveal() string {
 	return s.text
 }
 
-// String returns the id alone.
+// String returns the key with the secret replaced by "[hidden]".
 func (s Secret) String() string {
 	return prefix + s.id + "_[hidden]"
 }
@@ -60,22 +61,22 @@
 	return []byte(s.String()), nil
 }
 
-// Key is what is kept of a key. The hash is the SHA-256 of the secret's
-// characters; secrets are random 256-bit numbers and need no slow hash.
+// Key is the stored part of a key. The hash is the SHA-256 of the secret's
+// characters. Secrets are random 256-bit numbers, so a slow hash is not needed.
 type Key struct {
 	ID        string `json:"id"`
 	Team      string `json:"team"`
 	Hash      []byte `json:"hash"`
 	Withdrawn bool   `json:"withdrawn,omitempty"`
-	// Revision is the one that last changed the key.
+	// Revision is the revision that last changed the key.
 	Revision uint64 `json:"revision"`
 }
 
-// New returns a random key of the team and what to keep of it.
+// New generates a key of the team. It returns the complete key and the part to store.
 func New(random io.Reader, team string) (Secret, Key, error) {
 	var raw [idBytes + secretBytes]byte
 	if _, err := io.ReadFull(random, raw[:]); err != nil {
-		return Secret{}, Key{}, fmt.Errorf("random source for a key of team %q: %w", team, err)
+		return Secret{}, Key{}, fmt.Errorf("read random bytes for a key of team %q: %w", team, err)
 	}
 	id := hex.EncodeToString(raw[:idBytes])
 	secret := base64.RawURLEncoding.EncodeToString(raw[idBytes:])
@@ -83,7 +84,7 @@
 	return Secret{id: id, text: prefix + id + "_" + secret}, Key{ID: id, Team: team, Hash: hash[:]}, nil
 }
 
-// Validate reports a malformed id or hash.
+// Validate returns an error if the id or the hash is malformed.
 func (k Key) Validate() error {
 	if raw, err := hex.DecodeString(k.ID); err != nil || len(raw) != idBytes || hex.EncodeToString(raw) != k.ID {
 		return fmt.Errorf("key id %q is malformed, want %d lower-case hexadecimal digits", k.ID, idLength)
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// String names the key without its hash.
+// String describes the key without its hash.
 func (k Key) String() string {
 	state := "in force"
 	if k.Withdrawn {
@@ -113,8 +114,8 @@
 	keys map[string]Key
 }
 
-// Of returns the keyring of the keys. Keys whose hash is malformed are kept
-// but never match.
+// Of returns a keyring with the keys. Keys whose hash is malformed are included but
+// never match.
 func Of(keys ...Key) Keyring {
 	ring := Keyring{keys: make(map[string]Key, len(keys))}
 	for _, key := range keys {
@@ -123,7 +124,7 @@
 	return ring
 }
 
-// With returns a ring with the keys added or replaced.
+// With returns a copy of the keyring with the keys added or replaced.
 func (r Keyring) With(keys ...Key) Keyring {
 	next := Keyring{keys: make(map[string]Key, len(r.keys)+len(keys))}
 	maps.Copy(next.keys, r.keys)
@@ -133,7 +134,7 @@
 	return next
 }
 
-// Without returns a ring without the ids.
+// Without returns a copy of the keyring without the keys with the ids.
 func (r Keyring) Without(ids ...string) Keyring {
 	next := Keyring{keys: maps.Clone(r.keys)}
 	for _, id := range ids {
@@ -142,22 +143,22 @@
 	return next
 }
 
-// Get returns the key of an id.
+// Get returns the key with an id.
 func (r Keyring) Get(id string) (Key, bool) {
 	key, ok := r.keys[id]
 	return key, ok
 }
 
-// Keys returns all keys in the order of their ids.
+// Keys returns all keys, sorted by id.
 func (r Keyring) Keys() []Key {
 	return slices.SortedFunc(maps.Values(r.keys), func(a, b Key) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// Check returns the team of a presented key, if it is in force. The time it
-// takes depends on whether the id is known, which is no secret, but not on
-// the secret; it allocates nothing on the heap.
+// Check returns the team of a presented key, and whether the key is valid. The time
+// it takes may reveal whether the id is known, which is not secret, but nothing
+// about the secret. It does not allocate on the heap.
 func (r Keyring) Check(presented string) (team string, ok bool) {
-	id, secret, ok := split(presented)
+	id, secret, ok := splitKey(presented)
 	if !ok {
 		return "", false
 	}
@@ -174,13 +175,14 @@
 	return key.Team, true
 }
 
-// ID returns the id part of a presented key, for logs.
+// ID returns the id of a presented key, which may be logged.
 func ID(presented string) (string, bool) {
-	id, _, ok := split(presented)
+	id, _, ok := splitKey(presented)
 	return id, ok
 }
 
-func split(presented string) (id, secret string, ok bool) {
+// splitKey splits a presented key into its id and secret.
+func splitKey(presented string) (id, secret string, ok bool) {
 	if len(presented) != keyLength || !strings.HasPrefix(presented, prefix) {
 		return "", "", false
 	}
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -28,13 +28,13 @@
 		want      string
 	}{
 		"in force":           {keyring.Of(key, other), text, "acme"},
-		"the other team's":   {keyring.Of(key, other), otherSecret.Reveal(), "bait"},
+		"other team":         {keyring.Of(key, other), otherSecret.Reveal(), "bait"},
 		"withdrawn":          {keyring.Of(key, withdrawn), otherSecret.Reveal(), ""},
 		"removed":            {keyring.Of(key, other).Without(key.ID), text, ""},
 		"no keys":            {keyring.Keyring{}, text, ""},
 		"hash is missing":    {keyring.Of(malformed), text, ""},
-		"id with other half": {keyring.Of(key, other), crossed, ""},
-		"cut":                {keyring.Of(key), text[:len(text)-1], ""},
+		"other key's secret": {keyring.Of(key, other), crossed, ""},
+		"truncated":          {keyring.Of(key), text[:len(text)-1], ""},
 		"empty":              {keyring.Of(key), "", ""},
 		"id alone":           {keyring.Of(key), secret.String(), ""},
 	}
@@ -66,8 +66,8 @@
 	}
 	slog.New(slog.NewJSONHandler(&out, nil)).Info("key", "secret", secret)
 	got := out.String()
-	if half := secret.Reveal()[20:]; strings.Contains(got, half) {
-		t.Errorf("got %s, want no %s", got, half)
+	if hidden := secret.Reveal()[20:]; strings.Contains(got, hidden) {
+		t.Errorf("got %s, want it without %s", got, hidden)
 	}
 }
 
