--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,12 +1,12 @@
 // Package certs loads the certificates of the peer and operator ports and
-// takes up replaced files without a restart.
+// reloads replaced files without a restart.
 //
 // # Usage
 //
 //	files, err := certs.New(certs.Config{Certificate: "host.pem", Key: "host.key", Authority: "ca.pem"})
 //	server.TLSConfig = files.Server()
 //	transport.TLSClientConfig = files.Client()
-//	changed, err := files.Reload() // from the owner's loop, every few seconds
+//	changed, err := files.Reload() // call it every few seconds
 package certs
 
 import (
@@ -19,30 +19,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config names the PEM files. All three are needed.
+// Config holds the names of the PEM files. All three are required.
 type Config struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Files holds the certificates in force.
+// Files holds the current certificates.
 type Files struct {
 	config  Config
-	current atomic.Pointer[loaded]
+	current atomic.Pointer[fileSet]
 }
 
-// loaded is one consistent reading of the three files.
-type loaded struct {
+// fileSet holds the content of the three files, as read together.
+type fileSet struct {
 	pem         []byte
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// New reads the files; it fails when any is missing or they do not fit.
+// New reads the files. It fails if a file is missing or the key does not match the
+// certificate.
 func New(config Config) (*Files, error) {
 	files := &Files{config: config}
-	first, err := read(config)
+	first, err := readFiles(config)
 	if err != nil {
 		return nil, err
 	}
@@ -50,9 +51,10 @@
 	return files, nil
 }
 
-// Reload takes up replaced files. On an error the old ones stay in force.
+// Reload reads the files again and uses them if they changed. On an error the
+// previous certificates stay in use.
 func (f *Files) Reload() (changed bool, err error) {
-	next, err := read(f.config)
+	next, err := readFiles(f.config)
 	if err != nil {
 		return false, err
 	}
@@ -63,40 +65,41 @@
 	return true, nil
 }
 
-// Server returns the settings of a port that takes only peers signed by the authority.
+// Server returns the TLS configuration of a port that accepts only clients whose
+// certificates are signed by the authority.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			now := f.current.Load()
+			current := f.current.Load()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{now.certificate},
+				Certificates: []tls.Certificate{current.certificate},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				ClientCAs:    now.authority,
+				ClientCAs:    current.authority,
 			}, nil
 		},
 	}
 }
 
-// Client returns the settings for calling such a port.
+// Client returns the TLS configuration for connections to such a port.
 func (f *Files) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The chain is checked by VerifyConnection against the authority in
-		// force; hosts are known by address, so names are not compared.
+		// VerifyConnection checks the chain against the current authority. Servers are
+		// addressed by IP, so host names are not verified.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &f.current.Load().certificate, nil
 		},
-		VerifyConnection: f.verify,
+		VerifyConnection: f.verifyServer,
 	}
 }
 
-// verify checks the server's chain against the authority in force.
-func (f *Files) verify(state tls.ConnectionState) error {
+// verifyServer checks the server's chain against the current authority.
+func (f *Files) verifyServer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("peer sent no certificate")
+		return errors.New("server sent no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range state.PeerCertificates[1:] {
@@ -109,8 +112,8 @@
 	return err
 }
 
-// read loads the three files.
-func read(config Config) (*loaded, error) {
+// readFiles reads and parses the three files.
+func readFiles(config Config) (*fileSet, error) {
 	certPEM, err := os.ReadFile(config.Certificate)
 	if err != nil {
 		return nil, errors.Wrap(err, "read certificate")
@@ -121,16 +124,16 @@
 	}
 	authorityPEM, err := os.ReadFile(config.Authority)
 	if err != nil {
-		return nil, errors.Wrap(err, "read authority")
+		return nil, errors.Wrap(err, "read certificate authority")
 	}
 	certificate, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err != nil {
-		return nil, errors.Wrapf(err, "certificate %q does not fit key %q", config.Certificate, config.Key)
+		return nil, errors.Wrapf(err, "load certificate %q with key %q", config.Certificate, config.Key)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authorityPEM) {
-		return nil, errors.Newf("authority %q holds no certificate", config.Authority)
+		return nil, errors.Newf("certificate authority %q contains no certificate", config.Authority)
 	}
 	all := bytes.Join([][]byte{certPEM, keyPEM, authorityPEM}, nil)
-	return &loaded{pem: all, certificate: certificate, authority: pool}, nil
+	return &fileSet{pem: all, certificate: certificate, authority: pool}, nil
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -20,7 +20,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/certs"
 )
 
-// authority signs certificates for one test.
+// authority is a certificate authority for a test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -48,7 +48,7 @@
 	return authority{cert: cert, key: key}
 }
 
-// write signs a new certificate into dir and returns the files' names.
+// write signs a new certificate, writes the PEM files to dir and returns their names.
 func (a authority) write(t *testing.T, dir string) certs.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -95,15 +95,15 @@
 	return files
 }
 
-func TestPortTakesOnlyPeersOfTheAuthority(t *testing.T) {
+func TestServerAcceptsOnlySignedPeers(t *testing.T) {
 	ours, stranger := newAuthority(t), newAuthority(t)
 	server := load(t, ours.write(t, t.TempDir()))
 	tests := map[string]struct {
 		client *tls.Config
 		want   bool
 	}{
-		"peer":                {client: load(t, ours.write(t, t.TempDir())).Client(), want: true},
-		"stranger":            {client: load(t, stranger.write(t, t.TempDir())).Client()},
+		"signed certificate":  {client: load(t, ours.write(t, t.TempDir())).Client(), want: true},
+		"other authority":     {client: load(t, stranger.write(t, t.TempDir())).Client()},
 		"without certificate": {client: &tls.Config{InsecureSkipVerify: true}},
 	}
 	for name, tc := range tests {
@@ -118,13 +118,13 @@
 				_ = answer.Body.Close()
 			}
 			if got := err == nil; got != tc.want {
-				t.Errorf("reached the port: got %v, want %v (%v)", got, tc.want, err)
+				t.Errorf("accepted: got %v, want %v (%v)", got, tc.want, err)
 			}
 		})
 	}
 }
 
-func TestReloadTakesUpReplacedFiles(t *testing.T) {
+func TestReload(t *testing.T) {
 	dir := t.TempDir()
 	ours := newAuthority(t)
 	files := load(t, ours.write(t, dir))
@@ -139,6 +139,6 @@
 		t.Fatal(err)
 	}
 	if got, err := files.Reload(); got || err == nil {
-		t.Errorf("broken files: got %v, %v, want the old ones and an error", got, err)
+		t.Errorf("malformed key: got %v, %v, want false and an error", got, err)
 	}
 }
