--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -1,11 +1,11 @@
-// Package port listens and serves HTTP with limits on connections, headers and
-// time, and stops without cutting a request.
+// Package port runs HTTP servers with limits on connections, header sizes and
+// times, and with graceful shutdown.
 //
 // # Usage
 //
 //	p, err := port.Open(port.Config{Name: "caller", Address: address, Handler: handler})
 //	...
-//	p.Drain()                // answers tell the caller to close its connection
+//	p.Drain()                // responses ask the caller to close its connection
 //	err = p.Shutdown(ctx)    // waits for requests in flight
 package port
 
@@ -32,7 +32,7 @@
 	DefaultIdleTimeout       = 2 * time.Minute
 )
 
-// Config describes a port; zero values take the defaults.
+// Config configures a Port. Zero values mean the defaults.
 type Config struct {
 	Name    string
 	Address netip.AddrPort
@@ -43,12 +43,12 @@
 	MaxHeader         int
 	ReadHeaderTimeout time.Duration
 	IdleTimeout       time.Duration
-	// ReadTimeout bounds reading a whole request; 0 sets no bound, for ports
-	// whose bodies stream.
+	// ReadTimeout bounds the time to read an entire request. 0 means no bound, for
+	// ports with streamed bodies.
 	ReadTimeout time.Duration
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns c with zero values replaced by the defaults.
 func (c Config) withDefaults() Config {
 	if c.MaxConnections == 0 {
 		c.MaxConnections = DefaultMaxConnections
@@ -65,7 +65,7 @@
 	return c
 }
 
-// Port is an open port.
+// Port is an HTTP server on one address.
 type Port struct {
 	config   Config
 	server   *http.Server
@@ -74,7 +74,8 @@
 	done     chan error
 }
 
-// Open listens and serves in a goroutine of its own, until Shutdown or Close.
+// Open listens on the address and serves requests in a goroutine until Shutdown or
+// Close.
 func Open(config Config) (*Port, error) {
 	config = config.withDefaults()
 	listener, err := net.Listen("tcp", config.Address.String())
@@ -84,7 +85,7 @@
 	p := &Port{config: config, done: make(chan error, 1)}
 	p.address = listener.Addr().(*net.TCPAddr).AddrPort()
 	p.server = &http.Server{
-		Handler:           http.HandlerFunc(p.serve),
+		Handler:           http.HandlerFunc(p.handle),
 		TLSConfig:         config.TLS,
 		MaxHeaderBytes:    config.MaxHeader,
 		ReadHeaderTimeout: config.ReadHeaderTimeout,
@@ -93,12 +94,12 @@
 		ErrorLog:          stdlog.New(io.Discard, "", 0),
 	}
 	limited := newLimitListener(listener, config.MaxConnections)
-	go func() { p.done <- p.listen(limited) }()
+	go func() { p.done <- p.serveListener(limited) }()
 	return p, nil
 }
 
-// listen serves until the server is closed.
-func (p *Port) listen(listener net.Listener) error {
+// serveListener serves until the server is closed.
+func (p *Port) serveListener(listener net.Listener) error {
 	var err error
 	if p.config.TLS != nil {
 		err = p.server.ServeTLS(listener, "", "")
@@ -111,10 +112,10 @@
 	return errors.Wrapf(err, "serve the %s port", p.config.Name)
 }
 
-// serve passes a request on; while draining it asks the caller to close. A
-// handler's panic means a broken invariant and stops the process, which net/http
-// would keep it from doing.
-func (p *Port) serve(w http.ResponseWriter, r *http.Request) {
+// handle passes a request to the handler. While draining, it asks the caller to
+// close the connection. A handler's panic means a violated invariant: it is raised
+// again in a goroutine to stop the process, because net/http would recover it.
+func (p *Port) handle(w http.ResponseWriter, r *http.Request) {
 	defer func() {
 		reason := recover()
 		if reason == nil {
@@ -137,21 +138,21 @@
 // Done delivers the error that ended serving, nil after Shutdown or Close.
 func (p *Port) Done() <-chan error { return p.done }
 
-// Drain has every further answer close its connection, while the port still
-// takes requests. Idle connections stay open: closing one could cut a request
-// that is on its way.
+// Drain makes every further response ask the caller to close its connection. The
+// port still accepts requests. Idle connections stay open, because closing one could
+// abort a request that the caller is sending.
 func (p *Port) Drain() { p.draining.Store(true) }
 
-// Shutdown takes no new connection and waits for the requests in flight.
+// Shutdown stops accepting connections and waits for the requests in flight.
 func (p *Port) Shutdown(ctx context.Context) error {
-	return errors.Wrapf(p.server.Shutdown(ctx), "drain the %s port", p.config.Name)
+	return errors.Wrapf(p.server.Shutdown(ctx), "shut down the %s port", p.config.Name)
 }
 
-// Close cuts what is left.
+// Close closes the port and all its connections at once.
 func (p *Port) Close() error { return p.server.Close() }
 
-// limitListener takes at most a number of connections at a time; more wait in
-// the listen queue.
+// limitListener limits the number of open connections. Further connections wait in
+// the listen backlog.
 type limitListener struct {
 	net.Listener
 	tokens chan struct{}
@@ -159,7 +160,7 @@
 	once   sync.Once
 }
 
-// newLimitListener returns a listener for at most n connections at a time.
+// newLimitListener returns a listener that accepts at most n connections at a time.
 func newLimitListener(listener net.Listener, n int) *limitListener {
 	return &limitListener{Listener: listener, tokens: make(chan struct{}, n), closed: make(chan struct{})}
 }
@@ -185,7 +186,7 @@
 	return l.Listener.Close()
 }
 
-// limitConn returns its token when it is closed.
+// limitConn releases its listener's token when it is closed.
 type limitConn struct {
 	net.Conn
 	release func()
--- a/internal/port/port_test.go
+++ b/internal/port/port_test.go
@@ -53,7 +53,7 @@
 	go func() { stopped <- p.Shutdown(context.Background()) }()
 	close(release)
 	if got, want := <-body, "whole"; got != want {
-		t.Errorf("answer in flight: got %q, want %q", got, want)
+		t.Errorf("response to the request in flight: got %q, want %q", got, want)
 	}
 	if err := <-stopped; err != nil {
 		t.Errorf("shutdown: got %v, want no error", err)
@@ -126,11 +126,11 @@
 	_, _ = io.WriteString(second, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 	_ = second.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, _ := second.Read(make([]byte, 1)); n != 0 {
-		t.Error("second connection: got an answer, want it to wait for the first")
+		t.Error("second connection: got a response while the first was open")
 	}
 	_ = first.Close()
 	_ = second.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if got, _ := io.ReadAll(second); !strings.HasPrefix(string(got), "HTTP/1.1 404") {
-		t.Errorf("after the first was closed: got %q, want 404", got)
+		t.Errorf("second connection, after the first was closed: got %q, want 404", got)
 	}
 }
