--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -76,10 +76,10 @@
 		"zero":              {head + "[service a]\nteam = acme\ndeadline = 0s\n", []string{`f:5: [service a] deadline "0s" is malformed (want a duration such as 2s or 500ms)`}},
 		"two kinds a name":  {head + "[service a]\nteam = acme\n[queue a]\nteam = acme\n", []string{"f:5: [queue a] is already a service (want one service or queue a name)"}},
 		"open service":      {head + "[service a]\nteam = acme\nopen = true\n", []string{"f:5: [service a] open is set on a service (want a queue, or open = false)"}},
-		"repeated section":  {head + "[team acme]\nupper-limit = 2\n", []string{"f:3: [team acme] stands already on line 1 (want one section a name)"}},
-		"repeated name":     {head + "upper-limit = 2\n", []string{"f:3: upper-limit stands already on line 2 (want one value a name)"}},
+		"repeated section":  {head + "[team acme]\nupper-limit = 2\n", []string{"f:3: [team acme] is already defined on line 1 (want one section per name)"}},
+		"repeated name":     {head + "upper-limit = 2\n", []string{"f:3: upper-limit is already defined on line 2 (want one value per name)"}},
 		"unclosed section":  {head + "[service a\nteam = acme\n", []string{"f:3: section is not closed (want [name])"}},
-		"several, in order": {"x = 1\n[team a]\nupper-limit = -1\nshare\n", []string{"f:1: x stands before the first section (want a [section] above it)", "f:3: [team a] upper-limit is -1 (want 0 to 1000000)", `f:4: line "share" has no value (want name = value)`}},
+		"several, in order": {"x = 1\n[team a]\nupper-limit = -1\nshare\n", []string{"f:1: x is before the first section (want a [section] above it)", "f:3: [team a] upper-limit is -1 (want 0 to 1000000)", `f:4: line "share" has no "=" (want name = value)`}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,4 +1,4 @@
-// Package inifile reads INI files with the line of each section and name.
+// Package inifile parses INI files with the line numbers of sections and keys.
 //
 // # Usage
 //
@@ -9,9 +9,10 @@
 //		}
 //	}
 //
-// gopkg.in/ini.v1 reads the values; it stops at the first broken line and
-// reports no line numbers, so lines that it would refuse are reported and left
-// out beforehand. Comments start with # or ; after a space or at a line's start.
+// gopkg.in/ini.v1 parses the values. It stops at the first malformed line and
+// reports no line numbers, so this package reports malformed lines itself and does
+// not pass them on. Comments start with # or ; after a space or at the start of a
+// line.
 package inifile
 
 import (
@@ -27,29 +28,29 @@
 
 const byteOrderMark = "\ufeff"
 
-var keyName = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
+var keyPattern = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
 
-// File is a parsed file. Sections stand in the file's order.
+// File is a parsed file. Sections are in the order of the file.
 type File struct {
 	Name     string
 	Sections []Section
 }
 
-// Section is one "[name]" and what follows it.
+// Section is a "[name]" line and the keys that follow it.
 type Section struct {
 	Name string
 	Line int
 	Keys []Key
 }
 
-// Key is one "name = value".
+// Key is a "name = value" line.
 type Key struct {
 	Name  string
 	Value string
 	Line  int
 }
 
-// Get returns the value of a name.
+// Get returns the value of a key, and whether the section has the key.
 func (s Section) Get(name string) (string, bool) {
 	for _, key := range s.Keys {
 		if key.Name == name {
@@ -59,7 +60,8 @@
 	return "", false
 }
 
-// LineOf returns the line of a name, or the section's own when it has none.
+// LineOf returns the line of a key, or the line of the section if it does not have
+// the key.
 func (s Section) LineOf(name string) int {
 	for _, key := range s.Keys {
 		if key.Name == name {
@@ -69,30 +71,30 @@
 	return s.Line
 }
 
-// Parse reads content. The file holds what could be read; every broken line,
-// repeated section and repeated name is a problem.
+// Parse parses content. The returned file holds what could be parsed; every
+// malformed line, repeated section and repeated key is reported as a problem.
 func Parse(name string, content []byte) (File, problem.List) {
 	p := parser{file: File{Name: name}}
 	for i, line := range strings.Split(strings.TrimPrefix(string(content), byteOrderMark), "\n") {
-		p.read(i+1, strings.TrimSpace(line))
+		p.readLine(i+1, strings.TrimSpace(line))
 	}
-	p.values()
+	p.readValues()
 	return p.file, p.problems
 }
 
-// parser collects the lines that ini.v1 can read, with sections renamed to
-// their index so that a repeated section stays apart.
+// parser collects the lines that ini.v1 can parse. Sections are renamed to their
+// index, so that ini.v1 does not merge sections of the same name.
 type parser struct {
-	file     File
-	clean    strings.Builder
-	problems problem.List
+	file       File
+	validLines strings.Builder
+	problems   problem.List
 }
 
-func (p *parser) report(line int, field, message, want string) {
+func (p *parser) addProblem(line int, field, message, want string) {
 	p.problems.Add(problem.Problem{File: p.file.Name, Line: line, Field: field, Message: message, Want: want})
 }
 
-func (p *parser) read(number int, line string) {
+func (p *parser) readLine(number int, line string) {
 	switch {
 	case line == "", line[0] == '#', line[0] == ';':
 	case line[0] == '[':
@@ -105,17 +107,17 @@
 func (p *parser) readSection(number int, line string) {
 	end := strings.IndexByte(line, ']')
 	if end < 0 {
-		p.report(number, "", "section is not closed", "[name]")
+		p.addProblem(number, "", "section is not closed", "[name]")
 		end = len(line)
 	}
 	name := strings.Join(strings.Fields(line[1:end]), " ")
 	for _, other := range p.file.Sections {
 		if other.Name == name {
-			p.report(number, "["+name+"]", fmt.Sprintf("stands already on line %d", other.Line), "one section a name")
+			p.addProblem(number, "["+name+"]", fmt.Sprintf("is already defined on line %d", other.Line), "one section per name")
 			break
 		}
 	}
-	fmt.Fprintf(&p.clean, "[%d]\n", len(p.file.Sections))
+	fmt.Fprintf(&p.validLines, "[%d]\n", len(p.file.Sections))
 	p.file.Sections = append(p.file.Sections, Section{Name: name, Line: number})
 }
 
@@ -124,37 +126,37 @@
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
 	switch {
 	case !found:
-		p.report(number, "", fmt.Sprintf("line %q has no value", line), "name = value")
+		p.addProblem(number, "", fmt.Sprintf("line %q has no \"=\"", line), "name = value")
 		return
-	case !keyName.MatchString(name):
-		p.report(number, "", fmt.Sprintf("name %q is malformed", name), "lower-case letters, digits and hyphens")
+	case !keyPattern.MatchString(name):
+		p.addProblem(number, "", fmt.Sprintf("name %q is malformed", name), "lower-case letters, digits and hyphens")
 		return
 	case strings.HasPrefix(value, "`") || strings.HasPrefix(value, `"""`):
-		p.report(number, name, "spans lines by quotes", "a value on one line")
+		p.addProblem(number, name, "has a multi-line quote", "a value on one line")
 		return
 	case len(p.file.Sections) == 0:
-		p.report(number, name, "stands before the first section", "a [section] above it")
+		p.addProblem(number, name, "is before the first section", "a [section] above it")
 		return
 	}
 	section := &p.file.Sections[len(p.file.Sections)-1]
 	if _, repeated := section.Get(name); repeated {
-		p.report(number, name, fmt.Sprintf("stands already on line %d", section.LineOf(name)), "one value a name")
+		p.addProblem(number, name, fmt.Sprintf("is already defined on line %d", section.LineOf(name)), "one value per name")
 		return
 	}
 	section.Keys = append(section.Keys, Key{Name: name, Line: number})
-	p.clean.WriteString(line + "\n")
+	p.validLines.WriteString(line + "\n")
 }
 
-// values fills in the values that ini.v1 reads from the clean lines.
-func (p *parser) values() {
+// readValues sets the keys' values, which ini.v1 parses from the valid lines.
+func (p *parser) readValues() {
 	options := ini.LoadOptions{
 		IgnoreContinuation:       true,
 		KeyValueDelimiters:       "=",
 		SpaceBeforeInlineComment: true,
 	}
-	loaded, err := ini.LoadSources(options, []byte(p.clean.String()))
+	loaded, err := ini.LoadSources(options, []byte(p.validLines.String()))
 	if err != nil {
-		p.report(0, "", fmt.Sprintf("file is unreadable: %v", err), "")
+		p.addProblem(0, "", fmt.Sprintf("file cannot be parsed: %v", err), "")
 		return
 	}
 	for i := range p.file.Sections {
