--- a/internal/bytesize/bytesize.go
+++ b/internal/bytesize/bytesize.go
@@ -1,4 +1,4 @@
-// Package bytesize reads and writes sizes with units, such as "4MiB".
+// Package bytesize parses and formats sizes with units, such as "4MiB".
 //
 // # Usage
 //
@@ -13,7 +13,8 @@
 	"strings"
 )
 
-// units are sorted with the largest first; every other one ends in "B" too.
+// units is sorted from the largest to the smallest. "B" is last because it is a
+// suffix of all others.
 var units = []struct {
 	name  string
 	bytes int64
@@ -24,7 +25,7 @@
 	{"B", 1},
 }
 
-// Parse returns the size in bytes. A unit is required.
+// Parse parses a size and returns it in bytes. A unit is required.
 func Parse(text string) (int64, error) {
 	for _, unit := range units {
 		digits, found := strings.CutSuffix(text, unit.name)
@@ -40,7 +41,7 @@
 	return 0, fmt.Errorf("size %q has no unit", text)
 }
 
-// Format writes a size in the largest unit that divides it.
+// Format formats a size in the largest unit that divides it.
 func Format(n int64) string {
 	for _, unit := range units {
 		if n != 0 && n%unit.bytes == 0 {
--- a/internal/duration/duration.go
+++ b/internal/duration/duration.go
@@ -1,4 +1,4 @@
-// Package duration writes durations as text in the project's own formats.
+// Package duration encodes durations as text in JSON, such as "200ms".
 //
 // # Usage
 //
@@ -9,12 +9,12 @@
 
 import "time"
 
-// Text is a time.Duration that is encoded as text with units.
+// Text is a time.Duration that is encoded as text with a unit.
 type Text struct {
 	time.Duration
 }
 
-// New returns d as text.
+// New returns d as a Text.
 func New(d time.Duration) Text {
 	return Text{Duration: d}
 }
