--- a/cmd/lovagedyke/cmd_test.go
+++ b/cmd/lovagedyke/cmd_test.go
@@ -68,7 +68,7 @@
 		Guard:   func() []table.Condition { return nil },
 	})
 	server := httptest.NewServer(operator.New(operator.Config{
-		Store: s.store, Author: author, Fleet: s.fleet, Records: s.fleet,
+		Store: s.store, Committer: author, Fleet: s.fleet, Records: s.fleet,
 		Keys: func() [][]byte { return [][]byte{[]byte(testKey)} },
 	}))
 	t.Cleanup(server.Close)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -39,7 +39,7 @@
 type Config struct {
 	Seed uint64
 	// Length is how long harm is done.
-	Length           time.Duration
+	Duration         time.Duration
 	Nodes, Endpoints int
 	// Dir is a folder for settings and logs.
 	Dir string
@@ -52,15 +52,15 @@
 // Process is a node in a process of its own.
 type Process interface {
 	// Keep runs the node until ctx ends, and starts it again whenever it ends.
-	Keep(ctx context.Context)
+	Supervise(ctx context.Context)
 	// Signal sends the node a signal, if it runs.
 	Signal(signal syscall.Signal)
 }
 
 // Report is what a soak has seen.
 type Report struct {
-	Harms                          int
-	Accepted, Refused, Unsure, Ran int
+	Faults                             int
+	Accepted, Refused, Uncertain, Runs int
 	// Violations are promises that were broken.
 	Violations []string
 }
@@ -142,17 +142,17 @@
 		p := s.config.NewProcess(settings, filepath.Join(s.config.Dir, name+".log"))
 		s.processes = append(s.processes, p)
 		s.callers = append(s.callers, ports[0])
-		s.group.Go(p.Keep)
+		s.group.Go(p.Supervise)
 	}
 	return nil
 }
 
 // play harms the system while callers hand jobs in, and then waits for their ends.
 func (s *soak) play(ctx context.Context) {
-	plan := Plan(s.config.Seed, s.config.Length, s.config.Nodes, s.config.Endpoints)
-	s.report.Harms = len(plan)
+	plan := Plan(s.config.Seed, s.config.Duration, s.config.Nodes, s.config.Endpoints)
+	s.report.Faults = len(plan)
 	calls := loops.New(ctx)
-	end := time.Now().Add(s.config.Length)
+	end := time.Now().Add(s.config.Duration)
 	calls.Go(func(ctx context.Context) { s.handInJobs(ctx, end) })
 	calls.Go(func(ctx context.Context) { s.askStates(ctx, end) })
 	begun := time.Now()
@@ -171,10 +171,10 @@
 }
 
 // do does one harm and takes it back after its time.
-func (s *soak) do(ctx context.Context, harm Harm) {
+func (s *soak) do(ctx context.Context, harm Fault) {
 	during := func(begin, end func()) {
 		begin()
-		sleep(ctx, harm.For)
+		sleep(ctx, harm.Duration)
 		end()
 	}
 	link := func(door *proxy, state linkState) {
@@ -201,11 +201,11 @@
 		link(store, linkOneWay)
 	case StoreSilent:
 		link(store, linkSilent)
-	case StoreAway:
+	case StoreUnavailable:
 		during(func() { s.stage.SetStoreDown(true) }, func() { s.stage.SetStoreDown(false) })
-	case StoreLoses:
+	case StoreLosesAnswers:
 		during(func() { s.stage.SetLoseAnswers(true) }, func() { s.stage.SetLoseAnswers(false) })
-	case StoreForgets:
+	case StoreForgetsHistory:
 		s.stage.DropHistory()
 	case EndpointDelayed:
 		link(endpoint, linkDelayed)
@@ -267,7 +267,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if isUnsure {
-		s.report.Unsure++
+		s.report.Uncertain++
 		return
 	}
 	s.refused = append(s.refused, jobID(n))
@@ -335,7 +335,7 @@
 	for _, double := range seen.DuplicateStarts {
 		s.violated("%s, and was started again", double)
 	}
-	s.report.Accepted, s.report.Refused, s.report.Ran = len(s.accepted), len(s.refused), seen.Runs
+	s.report.Accepted, s.report.Refused, s.report.Runs = len(s.accepted), len(s.refused), seen.Runs
 }
 
 func (s *soak) violated(format string, args ...any) {
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -138,13 +138,13 @@
 func TestTableOutage(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	config := f.loadOn("entry-1", "entry-2", "entry-3")
-	config.Marked, config.Copies, config.Rate = true, 2, 60
+	config.IdempotencyKeys, config.Copies, config.Rate = true, 2, 60
 	stop := f.background(config)
 	time.Sleep(time.Second)
 	f.faults(`{"down":true}`)
 	time.Sleep(5 * time.Second)
 	during := f.loadOn("entry-1", "entry-2", "entry-3")
-	during.Marked, during.Requests = true, 100
+	during.IdempotencyKeys, during.Requests = true, 100
 	duringReport := f.run(during)
 	f.faults(`{"lose-answers":true}`)
 	time.Sleep(time.Second)
@@ -164,7 +164,7 @@
 func TestEntryDiesDuringTableOutage(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	config := f.loadOn("entry-1", "entry-2")
-	config.Marked, config.Copies, config.Rate = true, 2, 60
+	config.IdempotencyKeys, config.Copies, config.Rate = true, 2, 60
 	stop := f.background(config)
 	time.Sleep(time.Second)
 	f.faults(`{"down":true}`)
@@ -196,7 +196,7 @@
 	time.Sleep(4 * time.Second)
 	f.signal("entry-2", syscall.SIGCONT)
 	config := f.loadOn("entry-2")
-	config.Probes = nil
+	config.ReadinessAddresses = nil
 	config.Key, config.Requests = spare, 50
 	report := f.run(config)
 	if got := report.OK; got != 0 {
@@ -360,10 +360,10 @@
 	good.Rate = 80
 	stopGood := f.background(good)
 	cut := f.loadOn("entry-1", "entry-2")
-	cut.Behaviour, cut.Requests, cut.Marked, cut.Rate = "truncate", 40, true, 40
+	cut.Behaviour, cut.Requests, cut.IdempotencyKeys, cut.Rate = "truncate", 40, true, 40
 	f.run(cut)
 	late := f.loadOn("entry-1", "entry-2")
-	late.RunTime, late.Deadline, late.Requests, late.Marked, late.Rate = 400*time.Millisecond, 100*time.Millisecond, 20, true, 20
+	late.RunTime, late.Deadline, late.Requests, late.IdempotencyKeys, late.Rate = 400*time.Millisecond, 100*time.Millisecond, 20, true, 20
 	f.run(late)
 	f.faults(`{"down":true}`)
 	time.Sleep(2 * time.Second)
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -74,7 +74,7 @@
 func TestPeersOverTLS(t *testing.T) {
 	f := newFleet(t, 2, 1, (*fleet).certify)
 	config := f.loadOn("entry-1", "entry-2")
-	config.Marked, config.Requests = true, 50
+	config.IdempotencyKeys, config.Requests = true, 50
 	report := f.run(config)
 	f.checkWhole(report)
 	if got, want := report.OK, 50; got != want {
