--- a/cmd/lovagedyke/cmd_catalogue.go
+++ b/cmd/lovagedyke/cmd_catalogue.go
@@ -23,10 +23,10 @@
 	Name: "list",
 	Args: "[flags]",
 	Desc: "list services and queues",
-	Setup: listing[api.CatalogueAnswer]{
+	Setup: listing[api.CatalogueResponse]{
 		header: []string{"NAME", "KIND", "TEAM", "CLASS", "LIMIT", "DEADLINE", "AVAILABILITY", "POOL", "REVISION"},
 		fetch:  (*client.Client).Catalogue,
-		rows:   func(answer api.CatalogueAnswer) [][]string { return entryRows(answer.Catalogue.Entries) },
+		rows:   func(answer api.CatalogueResponse) [][]string { return entryRows(answer.Catalogue.Entries) },
 	}.setup,
 }
 
@@ -83,7 +83,7 @@
 	}
 }
 
-func catalogueOf(answer api.CatalogueAnswer) (catalogue.Catalogue, error) {
+func catalogueOf(answer api.CatalogueResponse) (catalogue.Catalogue, error) {
 	shown, problems := catalogue.FromAPI(answer.Catalogue)
 	return shown, problems.Err()
 }
--- a/cmd/lovagedyke/cmd_key.go
+++ b/cmd/lovagedyke/cmd_key.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		key, answer, err := managers.GiveKey(ctx, team)
+		key, answer, err := managers.IssueKey(ctx, team)
 		if err != nil {
 			return err
 		}
--- a/cmd/lovagedyke/connection.go
+++ b/cmd/lovagedyke/connection.go
@@ -118,7 +118,7 @@
 }
 
 // finish tells that the change was accepted and waits for it on request.
-func (c *change) finish(ctx context.Context, env *Env, managers *client.Client, answer api.ChangeAnswer) error {
+func (c *change) finish(ctx context.Context, env *Env, managers *client.Client, answer api.ChangeResponse) error {
 	if answer.Unchanged {
 		env.say("nothing to change, revision %d", answer.Revision)
 	} else {
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -29,7 +29,7 @@
 // registerKey registers a key by its hash, so the secret never reaches a manager.
 // A repeat after a lost answer changes nothing.
 func (h *Handler) registerKey(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var request api.GiveKeyRequest
+	var request api.IssueKeyRequest
 	if !readJSON(w, r, &request) {
 		return
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -127,7 +127,7 @@
 		t.Errorf("repeat: got %+v, want revision 1 unchanged", repeated)
 	}
 	s.fleet.unreachable = "entry-2"
-	key, issued, err := s.client.GiveKey(ctx, "acme")
+	key, issued, err := s.client.IssueKey(ctx, "acme")
 	if err != nil || issued.Revision != 2 {
 		t.Fatalf("issue key: got %+v, %v, want revision 2", issued, err)
 	}
@@ -159,7 +159,7 @@
 	ctx := context.Background()
 	s := newSetup(t)
 	must(s.client.Apply(ctx, api.ApplyRequest{Catalogue: sampleCatalogue()}))(t)
-	key, _, err := s.client.GiveKey(ctx, "acme")
+	key, _, err := s.client.IssueKey(ctx, "acme")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 			want: api.Problem{Status: 422, Reason: api.ReasonInvalid, Field: "[service orders] team", Outcome: api.OutcomeNotRun},
 		},
 		"unknown team": {
-			call: func(c *client.Client) error { _, _, err := c.GiveKey(ctx, "acne"); return err },
+			call: func(c *client.Client) error { _, _, err := c.IssueKey(ctx, "acne"); return err },
 			want: api.Problem{Status: 404, Reason: api.ReasonNotFound, Field: "team", Outcome: api.OutcomeNotRun},
 		},
 		"unknown charge": {
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -35,7 +35,7 @@
 
 // awaitInForce waits until the revision is in force in every process, at most for
 // the given time and maxRevisionWait, and returns the last answer.
-func (h *Handler) awaitInForce(r *http.Request, number uint64, wait time.Duration) api.RevisionAnswer {
+func (h *Handler) awaitInForce(r *http.Request, number uint64, wait time.Duration) api.RevisionResponse {
 	ctx := r.Context()
 	deadline := time.NewTimer(min(wait, maxRevisionWait))
 	defer deadline.Stop()
@@ -56,9 +56,9 @@
 	}
 }
 
-func (h *Handler) revisionAnswer(r *http.Request, number uint64) api.RevisionAnswer {
+func (h *Handler) revisionAnswer(r *http.Request, number uint64) api.RevisionResponse {
 	confirmed, missing := h.config.Fleet.InForce(r.Context(), number)
-	return api.RevisionAnswer{
+	return api.RevisionResponse{
 		Revision:  number,
 		InForce:   len(missing) == 0,
 		Confirmed: append([]string{}, confirmed...),
--- a/pkg/api/operator.go
+++ b/pkg/api/operator.go
@@ -23,7 +23,7 @@
 )
 
 // CatalogueAnswer is the catalogue at a revision.
-type CatalogueAnswer struct {
+type CatalogueResponse struct {
 	Revision  uint64    `json:"revision"`
 	Catalogue Catalogue `json:"catalogue"`
 }
@@ -42,7 +42,7 @@
 // ChangeAnswer tells that a change was accepted: it is committed and will not
 // be lost. Whether it is in force everywhere is another question, which
 // RevisionAnswer answers.
-type ChangeAnswer struct {
+type ChangeResponse struct {
 	Accepted bool   `json:"accepted"`
 	Revision uint64 `json:"revision"`
 	// Changes is the difference that the change made; empty for a repeat.
@@ -78,7 +78,7 @@
 }
 
 // GiveKeyRequest registers a key whose secret only its maker knows.
-type GiveKeyRequest struct {
+type IssueKeyRequest struct {
 	ID   string `json:"id"`
 	Team string `json:"team"`
 	// Hash is the SHA-256 of the secret's characters.
@@ -95,7 +95,7 @@
 }
 
 // RevisionAnswer tells where a revision is in force.
-type RevisionAnswer struct {
+type RevisionResponse struct {
 	Revision uint64 `json:"revision"`
 	InForce  bool   `json:"in-force"`
 	// Confirmed and Missing name the processes of the roster.
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -76,36 +76,36 @@
 }
 
 // Catalogue returns the catalogue with its revision.
-func (c *Client) Catalogue(ctx context.Context) (api.CatalogueAnswer, error) {
-	return call[api.CatalogueAnswer](ctx, c, request{method: http.MethodGet, path: "/v1/catalogue"})
+func (c *Client) Catalogue(ctx context.Context) (api.CatalogueResponse, error) {
+	return call[api.CatalogueResponse](ctx, c, request{method: http.MethodGet, path: "/v1/catalogue"})
 }
 
 // Apply declares the whole catalogue.
-func (c *Client) Apply(ctx context.Context, in api.ApplyRequest) (api.ChangeAnswer, error) {
+func (c *Client) Apply(ctx context.Context, in api.ApplyRequest) (api.ChangeResponse, error) {
 	if in.Operation == "" {
 		in.Operation = NewOperation()
 	}
-	return call[api.ChangeAnswer](ctx, c, request{method: http.MethodPost, path: "/v1/catalogue", body: in})
+	return call[api.ChangeResponse](ctx, c, request{method: http.MethodPost, path: "/v1/catalogue", body: in})
 }
 
 // RemoveEntry removes a service or queue. The operation id may be empty.
-func (c *Client) RemoveEntry(ctx context.Context, name, operation string, expected *uint64) (api.ChangeAnswer, error) {
+func (c *Client) RemoveEntry(ctx context.Context, name, operation string, expected *uint64) (api.ChangeResponse, error) {
 	query := operationQuery(operation)
 	if expected != nil {
 		query.Set("expected-revision", strconv.FormatUint(*expected, 10))
 	}
-	return call[api.ChangeAnswer](ctx, c, request{method: http.MethodDelete, path: "/v1/entries/" + url.PathEscape(name), query: query})
+	return call[api.ChangeResponse](ctx, c, request{method: http.MethodDelete, path: "/v1/entries/" + url.PathEscape(name), query: query})
 }
 
 // GiveKey makes a key for a team and registers it. The key is returned here
 // only; the managers know its hash.
-func (c *Client) GiveKey(ctx context.Context, team string) (key string, answer api.ChangeAnswer, err error) {
+func (c *Client) IssueKey(ctx context.Context, team string) (key string, answer api.ChangeResponse, err error) {
 	secret, kept, err := keyring.New(rand.Reader, team)
 	if err != nil {
 		return "", answer, err
 	}
-	in := api.GiveKeyRequest{ID: kept.ID, Team: team, Hash: kept.Hash, Operation: NewOperation()}
-	answer, err = call[api.ChangeAnswer](ctx, c, request{method: http.MethodPost, path: "/v1/keys", body: in})
+	in := api.IssueKeyRequest{ID: kept.ID, Team: team, Hash: kept.Hash, Operation: NewOperation()}
+	answer, err = call[api.ChangeResponse](ctx, c, request{method: http.MethodPost, path: "/v1/keys", body: in})
 	if err != nil {
 		return "", answer, err
 	}
@@ -113,8 +113,8 @@
 }
 
 // WithdrawKey withdraws a key. The operation id may be empty.
-func (c *Client) WithdrawKey(ctx context.Context, id, operation string) (api.ChangeAnswer, error) {
-	return call[api.ChangeAnswer](ctx, c, request{method: http.MethodDelete, path: "/v1/keys/" + url.PathEscape(id), query: operationQuery(operation)})
+func (c *Client) WithdrawKey(ctx context.Context, id, operation string) (api.ChangeResponse, error) {
+	return call[api.ChangeResponse](ctx, c, request{method: http.MethodDelete, path: "/v1/keys/" + url.PathEscape(id), query: operationQuery(operation)})
 }
 
 // Keys lists the keys, without secrets.
@@ -124,9 +124,9 @@
 
 // Revision tells where a revision is in force, after waiting for it at most
 // that long.
-func (c *Client) Revision(ctx context.Context, revision uint64, wait time.Duration) (api.RevisionAnswer, error) {
+func (c *Client) Revision(ctx context.Context, revision uint64, wait time.Duration) (api.RevisionResponse, error) {
 	query := url.Values{"revision": {strconv.FormatUint(revision, 10)}, "wait": {wait.String()}}
-	return call[api.RevisionAnswer](ctx, c, request{method: http.MethodGet, path: "/v1/revision", query: query, wait: wait})
+	return call[api.RevisionResponse](ctx, c, request{method: http.MethodGet, path: "/v1/revision", query: query, wait: wait})
 }
 
 // Charge returns a charge with its run.
