--- a/cmd/lovagedyke/cmd.go
+++ b/cmd/lovagedyke/cmd.go
@@ -12,54 +12,54 @@
 
 const programName = "lovagedyke"
 
-// Env is what a command knows of the world around it.
+// Env is the environment that a command runs in.
 type Env struct {
 	Stdout, Stderr io.Writer
 	Getenv         func(name string) string
 }
 
-// Action runs a command. Its error is printed and sets the exit code.
+// Action runs a command. A returned error is printed and sets the exit code.
 type Action func(ctx context.Context, env *Env, args []string) error
 
-// Cmd is a command. It has one of Setup, Action and Subcommands.
+// Cmd is a command. Exactly one of Setup, Action and Subcommands is set.
 type Cmd struct {
 	Name string
-	// Args shows the arguments in the help.
+	// Args is the argument synopsis shown in the help.
 	Args string
-	// Desc tells in one line what the command does.
+	// Desc is the one-line summary shown in the help.
 	Desc string
 	// Setup declares the command's flags and returns its action.
 	Setup func(flags *flag.FlagSet, env *Env) Action
-	// Action takes all arguments, flags among them.
+	// Action receives all arguments, flags included.
 	Action      Action
 	Subcommands []*Cmd
 }
 
-// command builds the ffcli command.
+// command builds the ffcli command of c and its subcommands.
 func (c *Cmd) command(env *Env, parents string) *ffcli.Command {
 	path := strings.TrimSpace(parents + " " + c.Name)
 	flags := flag.NewFlagSet(path, flag.ContinueOnError)
 	flags.SetOutput(env.Stderr)
-	out := &ffcli.Command{
+	built := &ffcli.Command{
 		Name:       c.Name,
 		ShortUsage: strings.TrimSpace(path + " " + c.Args),
 		ShortHelp:  c.Desc,
 		FlagSet:    flags,
 	}
 	for _, sub := range c.Subcommands {
-		out.Subcommands = append(out.Subcommands, sub.command(env, path))
+		built.Subcommands = append(built.Subcommands, sub.command(env, path))
 	}
 	if c.Action != nil {
-		out.Exec = func(ctx context.Context, args []string) error { return c.Action(ctx, env, args) }
+		built.Exec = func(ctx context.Context, args []string) error { return c.Action(ctx, env, args) }
 	}
 	if c.Setup != nil {
 		action := c.Setup(flags, env)
-		out.Exec = func(ctx context.Context, args []string) error { return action(ctx, env, args) }
+		built.Exec = func(ctx context.Context, args []string) error { return action(ctx, env, args) }
 	}
-	return out
+	return built
 }
 
-// run runs the command that args name and returns the exit code.
+// run executes the command named by args and returns the exit code.
 func run(ctx context.Context, env *Env, commands []*Cmd, args []string) int {
 	if len(args) > 0 {
 		for _, c := range commands {
@@ -68,11 +68,11 @@
 			}
 		}
 	}
-	root := &Cmd{Name: programName, Args: "<command> [flags] [arguments]", Subcommands: commands}
-	tree := root.command(env, "")
-	err := tree.Parse(args)
+	rootCmd := &Cmd{Name: programName, Args: "<command> [flags] [arguments]", Subcommands: commands}
+	root := rootCmd.command(env, "")
+	err := root.Parse(args)
 	if err == nil {
-		return report(env, tree.Run(ctx))
+		return report(env, root.Run(ctx))
 	}
 	if errors.Is(err, flag.ErrHelp) {
 		return exitOK
--- a/cmd/lovagedyke/cmd_catalogue.go
+++ b/cmd/lovagedyke/cmd_catalogue.go
@@ -23,10 +23,10 @@
 	Name: "list",
 	Args: "[flags]",
 	Desc: "list services and queues",
-	Setup: listing[api.CatalogueAnswer]{
+	Setup: listCommand[api.CatalogueResponse]{
 		header: []string{"NAME", "KIND", "TEAM", "CLASS", "LIMIT", "DEADLINE", "AVAILABILITY", "POOL", "REVISION"},
 		fetch:  (*client.Client).Catalogue,
-		rows:   func(answer api.CatalogueAnswer) [][]string { return entryRows(answer.Catalogue.Entries) },
+		rows:   func(response api.CatalogueResponse) [][]string { return entryRows(response.Catalogue.Entries) },
 	}.setup,
 }
 
@@ -49,43 +49,43 @@
 }
 
 func setupCatalogueShow(flags *flag.FlagSet, env *Env) Action {
-	var conn connection
-	conn.declare(flags, env)
+	var conn connectionFlags
+	conn.register(flags, env)
 	return func(ctx context.Context, env *Env, args []string) error {
-		managers, err := conn.client()
+		managerClient, err := conn.client()
 		if err != nil {
 			return err
 		}
-		answer, err := managers.Catalogue(ctx)
+		response, err := managerClient.Catalogue(ctx)
 		if err != nil {
 			return err
 		}
-		shown, err := catalogueOf(answer)
+		current, err := fromResponse(response)
 		if err != nil {
 			return err
 		}
 		if len(args) == 0 {
-			fmt.Fprintf(env.Stdout, "# revision %d\n%s", answer.Revision, catalogue.Format(shown))
+			fmt.Fprintf(env.Stdout, "# revision %d\n%s", response.Revision, catalogue.Format(current))
 			return nil
 		}
 		name, err := oneArgument(args, "the name of a service or queue, or none")
 		if err != nil {
 			return err
 		}
-		entry, known := shown.Entries[name]
+		entry, known := current.Entries[name]
 		if !known {
-			return fmt.Errorf("%q is unknown, want %s", name, problem.Unknown(name, shown.EntryNames()))
+			return fmt.Errorf("%q is unknown, want %s", name, problem.Unknown(name, current.EntryNames()))
 		}
-		only := catalogue.New()
-		only.Entries[name] = entry
-		_, err = env.Stdout.Write(catalogue.Format(only))
+		single := catalogue.New()
+		single.Entries[name] = entry
+		_, err = env.Stdout.Write(catalogue.Format(single))
 		return err
 	}
 }
 
-func catalogueOf(answer api.CatalogueAnswer) (catalogue.Catalogue, error) {
-	shown, problems := catalogue.FromAPI(answer.Catalogue)
-	return shown, problems.Err()
+func fromResponse(response api.CatalogueResponse) (catalogue.Catalogue, error) {
+	parsed, problems := catalogue.FromAPI(response.Catalogue)
+	return parsed, problems.Err()
 }
 
 var cmdCatalogueRemove = &Cmd{
@@ -96,22 +96,22 @@
 }
 
 func setupCatalogueRemove(flags *flag.FlagSet, env *Env) Action {
-	var c change
-	c.declare(flags, env)
+	var c changeFlags
+	c.register(flags, env)
 	return func(ctx context.Context, env *Env, args []string) error {
 		name, err := oneArgument(args, "the name of a service or queue")
 		if err != nil {
 			return err
 		}
-		managers, err := c.client()
+		managerClient, err := c.client()
 		if err != nil {
 			return err
 		}
-		c.begin()
-		answer, err := managers.RemoveEntry(ctx, name, c.operation, nil)
+		c.ensureOperation()
+		response, err := managerClient.RemoveEntry(ctx, name, c.operation, nil)
 		if err != nil {
-			return c.explain(err)
+			return c.withRetryHint(err)
 		}
-		return c.finish(ctx, env, managers, answer)
+		return c.reportAndWait(ctx, env, managerClient, response)
 	}
 }
--- a/cmd/lovagedyke/cmd_catalogue_apply.go
+++ b/cmd/lovagedyke/cmd_catalogue_apply.go
@@ -18,8 +18,8 @@
 }
 
 func setupCatalogueApply(flags *flag.FlagSet, env *Env) Action {
-	var c change
-	c.declare(flags, env)
+	var c changeFlags
+	c.register(flags, env)
 	dryRun := flags.Bool("dry-run", false, "show the difference and change nothing")
 	return func(ctx context.Context, env *Env, args []string) error {
 		file, err := oneArgument(args, "a catalogue file")
@@ -44,29 +44,30 @@
 	return desired, problems.Err()
 }
 
-// apply shows the difference and commits it on the revision it was shown for.
-func (c *change) apply(ctx context.Context, env *Env, desired api.Catalogue, dryRun bool) error {
-	managers, err := c.client()
+// apply prints the difference and commits it against the revision of the
+// preview, so that a concurrent change is a conflict.
+func (c *changeFlags) apply(ctx context.Context, env *Env, desired api.Catalogue, dryRun bool) error {
+	managerClient, err := c.client()
 	if err != nil {
 		return err
 	}
 	request := api.ApplyRequest{Catalogue: desired, DryRun: true}
-	seen, err := managers.Apply(ctx, request)
+	preview, err := managerClient.Apply(ctx, request)
 	if err != nil {
 		return err
 	}
-	for _, difference := range seen.Changes {
+	for _, difference := range preview.Changes {
 		fmt.Fprintln(env.Stdout, difference)
 	}
 	if dryRun {
-		env.say("%d changes against revision %d, nothing applied", len(seen.Changes), seen.Revision)
+		env.printInfo("%d changes against revision %d, nothing applied", len(preview.Changes), preview.Revision)
 		return nil
 	}
-	c.begin()
-	request.DryRun, request.Operation, request.Expected = false, c.operation, &seen.Revision
-	answer, err := managers.Apply(ctx, request)
+	c.ensureOperation()
+	request.DryRun, request.Operation, request.Expected = false, c.operation, &preview.Revision
+	response, err := managerClient.Apply(ctx, request)
 	if err != nil {
-		return c.explain(err)
+		return c.withRetryHint(err)
 	}
-	return c.finish(ctx, env, managers, answer)
+	return c.reportAndWait(ctx, env, managerClient, response)
 }
--- a/cmd/lovagedyke/cmd_charge.go
+++ b/cmd/lovagedyke/cmd_charge.go
@@ -26,25 +26,25 @@
 }
 
 func setupChargeTrace(flags *flag.FlagSet, env *Env) Action {
-	var conn connection
-	var out output
-	conn.declare(flags, env)
-	out.declare(flags)
+	var conn connectionFlags
+	var out outputFlags
+	conn.register(flags, env)
+	out.register(flags)
 	return func(ctx context.Context, env *Env, args []string) error {
 		id, err := oneArgument(args, "the id of a charge")
 		if err != nil {
 			return err
 		}
-		managers, err := conn.client()
+		managerClient, err := conn.client()
 		if err != nil {
 			return err
 		}
-		charge, err := managers.Charge(ctx, id)
+		charge, err := managerClient.Charge(ctx, id)
 		if err != nil {
 			return err
 		}
 		row := append([]string{charge.ID}, runRow(charge.Run)...)
-		return out.write(env.Stdout, charge, append([]string{"CHARGE"}, runHeader...), [][]string{row})
+		return out.render(env.Stdout, charge, append([]string{"CHARGE"}, runHeader...), [][]string{row})
 	}
 }
 
@@ -52,7 +52,7 @@
 	Name: "unproven",
 	Args: "[flags]",
 	Desc: "list runs that cannot be proved and are not charged",
-	Setup: listing[[]api.Run]{
+	Setup: listCommand[[]api.Run]{
 		header: runHeader,
 		fetch:  (*client.Client).Unproven,
 		rows:   runRows,
--- a/cmd/lovagedyke/cmd_check.go
+++ b/cmd/lovagedyke/cmd_check.go
@@ -22,38 +22,38 @@
 	role := flags.String("role", "", "check that the settings are enough for an entry or a manager")
 	return func(_ context.Context, env *Env, args []string) error {
 		if *file == "" && len(args) == 0 {
-			return usagef("got nothing to check, want -settings or catalogue files")
+			return usagef("nothing to check, want -settings or catalogue files")
 		}
-		var found problem.List
+		var problems problem.List
 		if *file != "" {
-			found = append(found, checkSettings(*file, settings.Role(*role))...)
+			problems = append(problems, checkSettings(*file, settings.Role(*role))...)
 		}
 		for _, name := range args {
 			_, err := readCatalogue(name)
-			found = append(found, problemsOf(name, err)...)
+			problems = append(problems, asProblems(name, err)...)
 		}
-		if len(found) == 0 {
-			env.say("no mistakes found")
+		if len(problems) == 0 {
+			env.printInfo("no mistakes found")
 		}
-		return found.Err()
+		return problems.Err()
 	}
 }
 
-// checkSettings reads the file alone: the environment of the one who checks is
-// not that of the process.
+// checkSettings checks the file without environment variables, which may differ
+// between this shell and the process that will use the file.
 func checkSettings(file string, role settings.Role) problem.List {
 	config, _, err := settings.Load([]string{"-settings", file}, func(string) string { return "" })
-	found := problemsOf(file, err)
+	problems := asProblems(file, err)
 	if role == "" {
 		role = config.Role
 	}
 	if role != "" {
-		found = append(found, problemsOf(file, config.Require(role))...)
+		problems = append(problems, asProblems(file, config.Require(role))...)
 	}
-	return found
+	return problems
 }
 
-func problemsOf(file string, err error) problem.List {
+func asProblems(file string, err error) problem.List {
 	var list problem.List
 	switch {
 	case err == nil:
--- a/cmd/lovagedyke/cmd_dump.go
+++ b/cmd/lovagedyke/cmd_dump.go
@@ -18,8 +18,8 @@
 
 const (
 	dumpTimeout = 10 * time.Second
-	// maxDump bounds a dump, in bytes.
-	maxDump = 64 << 20
+	// maxDumpBytes is the size limit of a dump.
+	maxDumpBytes = 64 << 20
 )
 
 var cmdDump = &Cmd{
@@ -44,15 +44,15 @@
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return errors.Mark(err, client.ErrUnavailable)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("process at %s answered %s", address, answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("process at %s answered %s", address, response.Status)
 	}
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxDump))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxDumpBytes))
 	if err != nil {
 		return err
 	}
--- a/cmd/lovagedyke/cmd_entry.go
+++ b/cmd/lovagedyke/cmd_entry.go
@@ -26,7 +26,7 @@
 	}))
 }
 
-// loadSettings reads the settings of a long-running program.
+// loadSettings reads the settings of an entry or a manager.
 func loadSettings(env *Env, args []string, role settings.Role) (settings.Config, error) {
 	config, rest, err := settings.Load(args, env.Getenv)
 	if err == nil {
@@ -36,7 +36,7 @@
 		return config, usageError{err}
 	}
 	if len(rest) > 0 {
-		return config, usagef("argument %q is not a flag", rest[0])
+		return config, usagef("unexpected argument %q, want flags only", rest[0])
 	}
 	return config, nil
 }
--- a/cmd/lovagedyke/cmd_explain.go
+++ b/cmd/lovagedyke/cmd_explain.go
@@ -21,23 +21,23 @@
 
 func explainJob(_ context.Context, env *Env, args []string) error {
 	if len(args) < 2 {
-		return usageError{errors.New("a job's ID and its logs are needed")}
+		return usageError{errors.New("arguments are missing, want a job ID and at least one log file")}
 	}
 	var logs []io.Reader
 	for _, path := range args[1:] {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return errors.Wrap(err, "read the log")
+			return errors.Wrap(err, "read log file")
 		}
 		logs = append(logs, bytes.NewReader(text))
 	}
-	story, err := explain.Read(args[0], logs...)
+	timeline, err := explain.Read(args[0], logs...)
 	if err != nil {
 		return err
 	}
-	for _, line := range story.Lines {
+	for _, line := range timeline.Lines {
 		if _, err := fmt.Fprintln(env.Stdout, line); err != nil {
-			return errors.Wrap(err, "print")
+			return errors.Wrap(err, "print timeline")
 		}
 	}
 	return nil
--- a/cmd/lovagedyke/cmd_host.go
+++ b/cmd/lovagedyke/cmd_host.go
@@ -13,8 +13,8 @@
 	"github.com/lovagedyke/lovagedyke/pkg/client"
 )
 
-// hostPoll is the time between two looks at a host that drains.
-const hostPoll = 100 * time.Millisecond
+// hostPollInterval is how often -wait queries the phase of the host.
+const hostPollInterval = 100 * time.Millisecond
 
 var cmdHost = &Cmd{
 	Name:        "host",
@@ -27,7 +27,7 @@
 	Name: "list",
 	Args: "[flags]",
 	Desc: "list the hosts with their pools",
-	Setup: listing[[]api.Host]{
+	Setup: listCommand[[]api.Host]{
 		header: []string{"HOST", "DATA-CENTRE", "RACK", "POOL", "PHASE", "TARGET", "STATE"},
 		fetch:  (*client.Client).Hosts,
 		rows:   hostRows,
@@ -92,51 +92,51 @@
 	}, "serving")
 }
 
-// hostChange asks a manager for a change of a host.
-type hostChange func(ctx context.Context, managers *client.Client, args []string) (api.Host, error)
+// hostChangeFunc requests a change of a host from a manager.
+type hostChangeFunc func(ctx context.Context, managers *client.Client, args []string) (api.Host, error)
 
-// setupHostChange declares the flags of a change, which with -wait ends once
-// the host has reached the phase.
-func setupHostChange(flags *flag.FlagSet, env *Env, change hostChange, phase string) Action {
-	var conn connection
-	conn.declare(flags, env)
+// setupHostChange registers the flags of a host change. With -wait, the command
+// returns once the host has reached the phase.
+func setupHostChange(flags *flag.FlagSet, env *Env, change hostChangeFunc, phase string) Action {
+	var conn connectionFlags
+	conn.register(flags, env)
 	wait := flags.Duration("wait", 0, "how long to wait until the host is "+phase)
 	return func(ctx context.Context, env *Env, args []string) error {
-		managers, err := conn.client()
+		managerClient, err := conn.client()
 		if err != nil {
 			return err
 		}
-		host, err := change(ctx, managers, args)
+		host, err := change(ctx, managerClient, args)
 		if err != nil {
 			return err
 		}
-		env.say("host %s of pool %s is %s", host.Name, host.Pool, host.Phase)
+		env.printInfo("host %s of pool %s is %s", host.Name, host.Pool, host.Phase)
 		if *wait == 0 {
 			return nil
 		}
-		return awaitPhase(ctx, env, managers, host, phase, *wait)
+		return awaitPhase(ctx, env, managerClient, host, phase, *wait)
 	}
 }
 
-// awaitPhase waits until the host has reached the phase at a later epoch than
-// that of a drain, or the time is over.
-func awaitPhase(ctx context.Context, env *Env, managers *client.Client, from api.Host, phase string, wait time.Duration) error {
+// awaitPhase waits until the host has reached the phase, at the epoch of the
+// change or a later one, or until the wait times out.
+func awaitPhase(ctx context.Context, env *Env, managerClient *client.Client, changed api.Host, phase string, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		hosts, err := managers.Hosts(ctx)
+		hosts, err := managerClient.Hosts(ctx)
 		if err == nil {
 			for _, host := range hosts {
-				if host.Name == from.Name && host.Phase == phase && host.Epoch >= from.Epoch {
-					env.say("host %s of pool %s is %s", host.Name, host.Pool, host.Phase)
+				if host.Name == changed.Name && host.Phase == phase && host.Epoch >= changed.Epoch {
+					env.printInfo("host %s of pool %s is %s", host.Name, host.Pool, host.Phase)
 					return nil
 				}
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(errNotInForce, fmt.Sprintf("host %s is not %s", from.Name, phase))
-		case <-time.After(hostPoll):
+			return errors.Wrap(errNotInForce, fmt.Sprintf("host %s is not %s", changed.Name, phase))
+		case <-time.After(hostPollInterval):
 		}
 	}
 }
--- a/cmd/lovagedyke/cmd_key.go
+++ b/cmd/lovagedyke/cmd_key.go
@@ -25,24 +25,24 @@
 }
 
 func setupKeyGive(flags *flag.FlagSet, env *Env) Action {
-	var c change
-	c.connection.declare(flags, env)
+	var c changeFlags
+	c.connectionFlags.register(flags, env)
 	flags.DurationVar(&c.wait, "wait", 0, "how long to wait until the key works everywhere")
 	return func(ctx context.Context, env *Env, args []string) error {
 		team, err := oneArgument(args, "a team")
 		if err != nil {
 			return err
 		}
-		managers, err := c.client()
+		managerClient, err := c.client()
 		if err != nil {
 			return err
 		}
-		key, answer, err := managers.GiveKey(ctx, team)
+		key, response, err := managerClient.IssueKey(ctx, team)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintln(env.Stdout, key)
-		return c.finish(ctx, env, managers, answer)
+		return c.reportAndWait(ctx, env, managerClient, response)
 	}
 }
 
@@ -54,23 +54,23 @@
 }
 
 func setupKeyWithdraw(flags *flag.FlagSet, env *Env) Action {
-	var c change
-	c.declare(flags, env)
+	var c changeFlags
+	c.register(flags, env)
 	return func(ctx context.Context, env *Env, args []string) error {
 		id, err := oneArgument(args, "the id of a key")
 		if err != nil {
 			return err
 		}
-		managers, err := c.client()
+		managerClient, err := c.client()
 		if err != nil {
 			return err
 		}
-		c.begin()
-		answer, err := managers.WithdrawKey(ctx, id, c.operation)
+		c.ensureOperation()
+		response, err := managerClient.WithdrawKey(ctx, id, c.operation)
 		if err != nil {
-			return c.explain(err)
+			return c.withRetryHint(err)
 		}
-		return c.finish(ctx, env, managers, answer)
+		return c.reportAndWait(ctx, env, managerClient, response)
 	}
 }
 
@@ -78,7 +78,7 @@
 	Name: "list",
 	Args: "[flags]",
 	Desc: "list keys by id, without their secrets",
-	Setup: listing[[]api.Key]{
+	Setup: listCommand[[]api.Key]{
 		header: []string{"ID", "TEAM", "STATE", "REVISION"},
 		fetch:  (*client.Client).Keys,
 		rows:   keyRows,
--- a/cmd/lovagedyke/cmd_node.go
+++ b/cmd/lovagedyke/cmd_node.go
@@ -28,7 +28,7 @@
 func node(ctx context.Context, env *Env, level string, metricsPort uint16) error {
 	path := env.Getenv(platform.SettingsVariable)
 	if path == "" {
-		return usageError{errors.Newf("the environment variable %s does not name a settings file", platform.SettingsVariable)}
+		return usageError{errors.Newf("environment variable %s is not set, want the path of a settings file", platform.SettingsVariable)}
 	}
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
@@ -39,7 +39,7 @@
 		config.Metrics = netip.AddrPortFrom(settings.Peers.Addr(), metricsPort)
 	}
 	config.Journal = journal.New(journal.Config{Writer: env.Stdout, Level: level, Fields: []any{"process", settings.Name}})
-	// The log goes on until everything else has ended.
+	// The log writer stops last, so that shutdown messages are written.
 	logCtx, endLog := context.WithCancel(context.WithoutCancel(ctx))
 	group := loops.New(logCtx)
 	group.Go(config.Journal.Run)
--- a/cmd/lovagedyke/cmd_roster.go
+++ b/cmd/lovagedyke/cmd_roster.go
@@ -11,7 +11,7 @@
 	Name: "roster",
 	Args: "[flags]",
 	Desc: "list the system's processes",
-	Setup: listing[[]api.Member]{
+	Setup: listCommand[[]api.Member]{
 		header: []string{"NAME", "ROLE", "DATA-CENTRE", "ADDRESS", "REVISION", "STATE"},
 		fetch:  (*client.Client).Roster,
 		rows:   memberRows,
--- a/cmd/lovagedyke/cmd_test.go
+++ b/cmd/lovagedyke/cmd_test.go
@@ -22,64 +22,65 @@
 
 const testKey = "operator key of the commands' tests"
 
-// fleet is one entry, which confirms unless it is deaf.
-type fleet struct {
-	deaf bool
+// fakeFleet has a single entry, which confirms every revision unless
+// unconfirmed is set.
+type fakeFleet struct {
+	unconfirmed bool
 }
 
-func (f *fleet) Push(context.Context, revision.Change) {}
+func (f *fakeFleet) Push(context.Context, revision.Change) {}
 
-func (f *fleet) InForce(context.Context, uint64) (confirmed, missing []string) {
-	if f.deaf {
+func (f *fakeFleet) InForce(context.Context, uint64) (confirmed, missing []string) {
+	if f.unconfirmed {
 		return nil, []string{"entry-1"}
 	}
 	return []string{"entry-1"}, nil
 }
 
-func (f *fleet) Roster(context.Context) ([]api.Member, error) {
+func (f *fakeFleet) Roster(context.Context) ([]api.Member, error) {
 	return []api.Member{{Name: "entry-1", Role: "entry", DataCentre: "west", Address: "127.0.0.1:1", Revision: 2, State: "live"}}, nil
 }
 
-func (f *fleet) Charge(_ context.Context, id string) (api.Charge, error) {
+func (f *fakeFleet) Charge(_ context.Context, id string) (api.Charge, error) {
 	if id != "c1" {
 		return api.Charge{}, operator.ErrNotFound
 	}
 	return api.Charge{ID: "c1", Run: api.Run{Run: "r1", Entry: "orders", Team: "acme"}}, nil
 }
 
-func (f *fleet) Unproven(context.Context) ([]api.Run, error) {
+func (f *fakeFleet) Unproven(context.Context) ([]api.Run, error) {
 	return nil, nil
 }
 
-// shell runs commands against one manager.
-type shell struct {
+// testCLI runs commands against the operators' API of one in-memory manager.
+type testCLI struct {
 	store       *table.Memory
-	fleet       *fleet
+	fakeFleet   *fakeFleet
 	environment map[string]string
 	dir         string
 }
 
-func newShell(t *testing.T) *shell {
-	s := &shell{store: table.NewMemory(), fleet: &fleet{}, dir: t.TempDir()}
-	author := revision.NewCommitter(revision.CommitterConfig{
+func newTestCLI(t *testing.T) *testCLI {
+	s := &testCLI{store: table.NewMemory(), fakeFleet: &fakeFleet{}, dir: t.TempDir()}
+	committer := revision.NewCommitter(revision.CommitterConfig{
 		Store:   s.store,
 		Replica: revision.NewReplica(revision.ReplicaConfig{}),
 		Ready:   func() bool { return true },
 		Guard:   func() []table.Condition { return nil },
 	})
 	server := httptest.NewServer(operator.New(operator.Config{
-		Store: s.store, Author: author, Fleet: s.fleet, Records: s.fleet,
+		Store: s.store, Author: committer, Fleet: s.fakeFleet, Records: s.fakeFleet,
 		Keys: func() [][]byte { return [][]byte{[]byte(testKey)} },
 	}))
 	t.Cleanup(server.Close)
 	s.environment = map[string]string{
 		"LOVAGEDYKE_MANAGER":           server.Listener.Addr().String(),
-		"LOVAGEDYKE_OPERATOR_KEY_FILE": s.file(t, "operator.key", testKey+"\n"),
+		"LOVAGEDYKE_OPERATOR_KEY_FILE": s.writeFile(t, "operator.key", testKey+"\n"),
 	}
 	return s
 }
 
-func (s *shell) file(t *testing.T, name, text string) string {
+func (s *testCLI) writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(s.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -88,16 +89,17 @@
 	return path
 }
 
-// run returns the exit code and what the command printed.
-func (s *shell) run(args ...string) (code int, stdout, stderr string) {
+// run returns the exit code and the output of a command.
+func (s *testCLI) run(args ...string) (code int, stdout, stderr string) {
 	var out, messages bytes.Buffer
 	env := &Env{Stdout: &out, Stderr: &messages, Getenv: func(name string) string { return s.environment[name] }}
 	code = run(context.Background(), env, commands, args)
 	return code, out.String(), messages.String()
 }
 
-// expect checks the exit code and a part of the output.
-func (s *shell) expect(t *testing.T, wantCode int, want string, args ...string) string {
+// expect checks the exit code and that stdout or stderr contains want. It
+// returns stdout.
+func (s *testCLI) expect(t *testing.T, wantCode int, want string, args ...string) string {
 	t.Helper()
 	code, stdout, stderr := s.run(args...)
 	if code != wantCode || !strings.Contains(stdout+stderr, want) {
@@ -108,13 +110,13 @@
 
 const catalogueText = "[team acme]\nupper-limit = 4\n[service orders]\nteam = acme\nlimit = 2\n"
 
-func TestOperatorsDay(t *testing.T) {
-	s := newShell(t)
-	file := s.file(t, "catalogue.ini", catalogueText)
+func TestOperatorCommands(t *testing.T) {
+	s := newTestCLI(t)
+	file := s.writeFile(t, "catalogue.ini", catalogueText)
 	s.expect(t, exitOK, "+ service orders", "catalogue", "apply", "-dry-run", file)
 	s.expect(t, exitOK, "accepted as revision 1", "catalogue", "apply", "-operation", "first", file)
 	s.expect(t, exitOK, "nothing to change, revision 1", "catalogue", "apply", "-operation", "first", file)
-	changed := s.file(t, "changed.ini", strings.Replace(catalogueText, "limit = 2", "limit = 3", 1))
+	changed := s.writeFile(t, "changed.ini", strings.Replace(catalogueText, "limit = 2", "limit = 3", 1))
 	s.expect(t, exitOK, "~ service orders (limit: 2 -> 3)", "catalogue", "apply", "-wait", "1s", changed)
 	s.expect(t, exitConflict, "was used for another change", "catalogue", "apply", "-operation", "first", changed)
 	s.expect(t, exitOK, "limit = 3", "catalogue", "show", "orders")
@@ -126,7 +128,7 @@
 	if strings.Contains(listed, key) {
 		t.Errorf("got the secret in %q", listed)
 	}
-	s.fleet.deaf = true
+	s.fakeFleet.unconfirmed = true
 	s.expect(t, exitNotInForce, "not confirmed by entry-1", "key", "withdraw", "-wait", "50ms", id)
 	s.expect(t, exitOK, "withdrawn", "key", "list")
 	s.expect(t, exitOK, "accepted as revision 5", "catalogue", "remove", "orders")
@@ -163,7 +165,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newShell(t)
+			s := newTestCLI(t)
 			s.store.SetFaults(tc.faults)
 			if tc.manager != "" {
 				s.environment["LOVAGEDYKE_MANAGER"] = tc.manager
@@ -173,10 +175,10 @@
 	}
 }
 
-func TestCheckPrintsAllMistakes(t *testing.T) {
-	s := newShell(t)
-	settingsFile := s.file(t, "s.ini", "[process]\nnam = a\n")
-	catalogueFile := s.file(t, "c.ini", "[service a]\nteam = b\nlimit = x\n")
+func TestCheckReportsAllProblems(t *testing.T) {
+	s := newTestCLI(t)
+	settingsFile := s.writeFile(t, "s.ini", "[process]\nnam = a\n")
+	catalogueFile := s.writeFile(t, "c.ini", "[service a]\nteam = b\nlimit = x\n")
 	code, _, stderr := s.run("check", "-settings", settingsFile, "-role", "entry", catalogueFile)
 	if code != exitFailed {
 		t.Errorf("got code %d, want %d", code, exitFailed)
@@ -189,7 +191,7 @@
 }
 
 func TestExamplesAreValid(t *testing.T) {
-	s := newShell(t)
+	s := newTestCLI(t)
 	t.Chdir(filepath.Join("..", "..", "examples"))
 	s.expect(t, exitOK, "no mistakes found", "check", "catalogue.ini")
 	for _, role := range []string{"entry", "manager"} {
@@ -200,7 +202,7 @@
 	}
 }
 
-func TestEveryCommandHasItsPage(t *testing.T) {
+func TestEveryCommandHasManPage(t *testing.T) {
 	for _, cmd := range commands {
 		page, err := os.ReadFile(filepath.Join("..", "..", "man", "lovagedyke-"+cmd.Name+".md"))
 		if err != nil {
@@ -214,23 +216,23 @@
 	}
 }
 
-// An authority turns TLS on.
+// Setting -operator-authority turns TLS on.
 func TestTLS(t *testing.T) {
-	s := newShell(t)
+	s := newTestCLI(t)
 	server := httptest.NewTLSServer(operator.New(operator.Config{
-		Fleet: s.fleet,
+		Fleet: s.fakeFleet,
 		Keys:  func() [][]byte { return [][]byte{[]byte(testKey)} },
 	}))
 	defer server.Close()
 	server.Config.ErrorLog = log.New(io.Discard, "", 0)
-	own := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})
+	certificate := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})
 	tests := map[string]struct {
 		authority string
 		wantCode  int
 		want      string
 	}{
-		"signed":         {s.file(t, "own.pem", string(own)), exitOK, "entry-1"},
-		"no certificate": {s.file(t, "empty.pem", "x"), exitFailed, "holds no PEM certificate"},
+		"signed":         {s.writeFile(t, "own.pem", string(certificate)), exitOK, "entry-1"},
+		"no certificate": {s.writeFile(t, "empty.pem", "x"), exitFailed, "holds no PEM certificate"},
 		"missing file":   {"missing.pem", exitFailed, "no such file"},
 		"without TLS":    {"", exitFailed, "400"},
 	}
@@ -247,5 +249,5 @@
 		_, _ = w.Write([]byte(`{"revision":1}`))
 	}))
 	defer process.Close()
-	newShell(t).expect(t, exitOK, "\"revision\": 1", "dump", process.Listener.Addr().String())
+	newTestCLI(t).expect(t, exitOK, "\"revision\": 1", "dump", process.Listener.Addr().String())
 }
--- a/cmd/lovagedyke/cmd_wave.go
+++ b/cmd/lovagedyke/cmd_wave.go
@@ -22,7 +22,7 @@
 	Name: "list",
 	Args: "[flags]",
 	Desc: "list the waves",
-	Setup: listing[[]api.Wave]{
+	Setup: listCommand[[]api.Wave]{
 		header: []string{"POOL", "NEED", "VERDICT", "REASON", "HOSTS"},
 		fetch:  (*client.Client).Waves,
 		rows:   waveRows,
@@ -37,7 +37,7 @@
 	return rows
 }
 
-// hostStates counts the wave's hosts by state, as "2 done, 1 down".
+// hostStates counts the wave's hosts by state, for example "1 down, 2 done".
 func hostStates(wave api.Wave) string {
 	counts := make(map[string]int)
 	for _, state := range wave.Hosts {
@@ -94,26 +94,26 @@
 	})
 }
 
-// waveChange asks a manager for a change of a pool's wave.
-type waveChange func(ctx context.Context, managers *client.Client, pool string) (api.Wave, error)
+// waveChangeFunc requests a change of a pool's wave from a manager.
+type waveChangeFunc func(ctx context.Context, managers *client.Client, pool string) (api.Wave, error)
 
-func setupWaveChange(flags *flag.FlagSet, env *Env, change waveChange) Action {
-	var conn connection
-	conn.declare(flags, env)
+func setupWaveChange(flags *flag.FlagSet, env *Env, change waveChangeFunc) Action {
+	var conn connectionFlags
+	conn.register(flags, env)
 	return func(ctx context.Context, env *Env, args []string) error {
 		pool, err := oneArgument(args, "a pool")
 		if err != nil {
 			return err
 		}
-		managers, err := conn.client()
+		managerClient, err := conn.client()
 		if err != nil {
 			return err
 		}
-		wave, err := change(ctx, managers, pool)
+		wave, err := change(ctx, managerClient, pool)
 		if err != nil {
 			return err
 		}
-		env.say("wave of pool %s: %s %s", wave.Pool, wave.Verdict, wave.Reason)
+		env.printInfo("wave of pool %s: %s %s", wave.Pool, wave.Verdict, wave.Reason)
 		return nil
 	}
 }
--- a/cmd/lovagedyke/exit.go
+++ b/cmd/lovagedyke/exit.go
@@ -12,7 +12,7 @@
 	"github.com/lovagedyke/lovagedyke/pkg/client"
 )
 
-// Exit codes, which man/lovagedyke.md documents.
+// Exit codes, documented in man/lovagedyke.md.
 const (
 	exitOK          = 0
 	exitFailed      = 1
@@ -22,10 +22,11 @@
 	exitUnavailable = 5
 )
 
-// errNotInForce means that a change is accepted and not yet in force everywhere.
-var errNotInForce = errors.New("not in force everywhere in time")
+// errNotInForce means that a change was accepted but was not in force on every
+// process before the -wait time was over.
+var errNotInForce = errors.New("timed out before the change was in force everywhere")
 
-// usageError is a mistake in the command line.
+// usageError is an invalid command line; it exits with exitUsage.
 type usageError struct {
 	err error
 }
@@ -35,7 +36,7 @@
 	return e.err.Error()
 }
 
-// Unwrap returns the mistake.
+// Unwrap returns the underlying error.
 func (e usageError) Unwrap() error {
 	return e.err
 }
@@ -49,13 +50,13 @@
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return exitOK
 	}
-	env.fail(err.Error())
+	env.printError(err.Error())
 	return exitCode(err)
 }
 
 func exitCode(err error) int {
 	var usage usageError
-	var refused *api.Problem
+	var problem *api.Problem
 	switch {
 	case errors.As(err, &usage):
 		return exitUsage
@@ -63,10 +64,10 @@
 		return exitNotInForce
 	case errors.Is(err, client.ErrUnavailable):
 		return exitUnavailable
-	case !errors.As(err, &refused):
+	case !errors.As(err, &problem):
 		return exitFailed
 	}
-	switch refused.Status {
+	switch problem.Status {
 	case http.StatusConflict:
 		return exitConflict
 	case http.StatusServiceUnavailable:
@@ -81,26 +82,26 @@
 	colourReset = "\x1b[0m"
 )
 
-// fail prints a message about an error.
-func (e *Env) fail(text string) {
-	e.message(colourRed, text)
+// printError prints an error message to Stderr.
+func (e *Env) printError(text string) {
+	e.printMessage(colourRed, text)
 }
 
-// say prints a message for the operator; results go to Stdout instead.
-func (e *Env) say(format string, args ...any) {
-	e.message(colourGreen, fmt.Sprintf(format, args...))
+// printInfo prints a status message to Stderr. Results go to Stdout.
+func (e *Env) printInfo(format string, args ...any) {
+	e.printMessage(colourGreen, fmt.Sprintf(format, args...))
 }
 
-func (e *Env) message(colour, text string) {
+func (e *Env) printMessage(colour, text string) {
 	prefix := programName + ":"
-	if e.coloured() {
+	if e.useColour() {
 		prefix = colour + prefix + colourReset
 	}
 	fmt.Fprintln(e.Stderr, prefix, text)
 }
 
-// coloured reports whether Stderr is a terminal whose user wants colours.
-func (e *Env) coloured() bool {
+// useColour reports whether Stderr is a terminal and NO_COLOR is not set.
+func (e *Env) useColour() bool {
 	file, ok := e.Stderr.(*os.File)
 	if !ok || e.Getenv("NO_COLOR") != "" {
 		return false
--- a/cmd/lovagedyke/connection.go
+++ b/cmd/lovagedyke/flags.go
@@ -18,13 +18,13 @@
 	"github.com/lovagedyke/lovagedyke/pkg/client"
 )
 
-// connection holds the flags that tell how to reach the managers.
-type connection struct {
+// connectionFlags holds the addresses and credentials for the managers.
+type connectionFlags struct {
 	managers, keyFile           string
 	authority, certificate, key string
 }
 
-func (c *connection) declare(flags *flag.FlagSet, env *Env) {
+func (c *connectionFlags) register(flags *flag.FlagSet, env *Env) {
 	flags.StringVar(&c.managers, "manager", env.Getenv("LOVAGEDYKE_MANAGER"), "operators' addresses of managers, separated by commas (LOVAGEDYKE_MANAGER)")
 	flags.StringVar(&c.keyFile, "operator-key-file", env.Getenv("LOVAGEDYKE_OPERATOR_KEY_FILE"), "file with the operator key (LOVAGEDYKE_OPERATOR_KEY_FILE)")
 	flags.StringVar(&c.authority, "operator-authority", env.Getenv("LOVAGEDYKE_OPERATOR_AUTHORITY"), "PEM certificates that sign managers; turns TLS on (LOVAGEDYKE_OPERATOR_AUTHORITY)")
@@ -32,8 +32,8 @@
 	flags.StringVar(&c.key, "operator-key", env.Getenv("LOVAGEDYKE_OPERATOR_KEY"), "PEM key of the certificate (LOVAGEDYKE_OPERATOR_KEY)")
 }
 
-// client returns a client for the managers.
-func (c *connection) client() (*client.Client, error) {
+// client returns a client configured from the flags.
+func (c *connectionFlags) client() (*client.Client, error) {
 	managers, err := parseAddresses(c.managers)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	return client.New(client.Config{Managers: managers, Key: string(key), TLS: tlsConfig}), nil
 }
 
-func (c *connection) tls() (*tls.Config, error) {
+func (c *connectionFlags) tls() (*tls.Config, error) {
 	if c.authority == "" {
 		return nil, nil
 	}
@@ -67,8 +67,8 @@
 	if c.certificate == "" {
 		return config, nil
 	}
-	pair, err := tls.LoadX509KeyPair(c.certificate, c.key)
-	config.Certificates = []tls.Certificate{pair}
+	keyPair, err := tls.LoadX509KeyPair(c.certificate, c.key)
+	config.Certificates = []tls.Certificate{keyPair}
 	return config, err
 }
 
@@ -87,53 +87,54 @@
 	return addresses, nil
 }
 
-// change holds the flags of commands that change the configuration.
-type change struct {
-	connection
+// changeFlags holds the flags of commands that change the configuration.
+type changeFlags struct {
+	connectionFlags
 	wait      time.Duration
 	operation string
 }
 
-func (c *change) declare(flags *flag.FlagSet, env *Env) {
-	c.connection.declare(flags, env)
+func (c *changeFlags) register(flags *flag.FlagSet, env *Env) {
+	c.connectionFlags.register(flags, env)
 	flags.DurationVar(&c.wait, "wait", 0, "how long to wait until the change is in force everywhere")
 	flags.StringVar(&c.operation, "operation", "", "id of this change; repeat it to ask again after a lost answer")
 }
 
-// begin makes sure that there is an operation id.
-func (c *change) begin() {
+// ensureOperation generates an operation id unless -operation is set.
+func (c *changeFlags) ensureOperation() {
 	if c.operation == "" {
 		c.operation = client.NewOperation()
 	}
 }
 
-// explain adds to an error what the operator can do about it.
-func (c *change) explain(err error) error {
-	var refused *api.Problem
-	unknown := errors.As(err, &refused) && refused.Outcome == api.OutcomeUnknown
-	if unknown || errors.Is(err, client.ErrUnavailable) {
+// withRetryHint adds how to repeat the change to an error with an unknown outcome.
+func (c *changeFlags) withRetryHint(err error) error {
+	var problem *api.Problem
+	outcomeUnknown := errors.As(err, &problem) && problem.Outcome == api.OutcomeUnknown
+	if outcomeUnknown || errors.Is(err, client.ErrUnavailable) {
 		return fmt.Errorf("%w\nthe change may have been accepted; repeat the command with -operation %s", err, c.operation)
 	}
 	return err
 }
 
-// finish tells that the change was accepted and waits for it on request.
-func (c *change) finish(ctx context.Context, env *Env, managers *client.Client, answer api.ChangeAnswer) error {
-	if answer.Unchanged {
-		env.say("nothing to change, revision %d", answer.Revision)
+// reportAndWait prints the accepted revision and, with -wait, waits until it is
+// in force on every process.
+func (c *changeFlags) reportAndWait(ctx context.Context, env *Env, managerClient *client.Client, response api.ChangeResponse) error {
+	if response.Unchanged {
+		env.printInfo("nothing to change, revision %d", response.Revision)
 	} else {
-		env.say("accepted as revision %d", answer.Revision)
+		env.printInfo("accepted as revision %d", response.Revision)
 	}
 	if c.wait <= 0 {
 		return nil
 	}
-	where, err := managers.Revision(ctx, answer.Revision, c.wait)
+	status, err := managerClient.Revision(ctx, response.Revision, c.wait)
 	if err != nil {
 		return err
 	}
-	if !where.InForce {
-		return errors.Wrapf(errNotInForce, "revision %d is not confirmed by %s", answer.Revision, strings.Join(where.Missing, ", "))
+	if !status.InForce {
+		return errors.Wrapf(errNotInForce, "revision %d is not confirmed by %s", response.Revision, strings.Join(status.Missing, ", "))
 	}
-	env.say("in force on all %d processes", len(where.Confirmed))
+	env.printInfo("in force on all %d processes", len(status.Confirmed))
 	return nil
 }
--- a/cmd/lovagedyke/main.go
+++ b/cmd/lovagedyke/main.go
@@ -1,5 +1,5 @@
-// Command lovagedyke keeps the work of many teams placed, admitted and
-// answered within the limits of a catalogue.
+// Command lovagedyke manages fleet capacity: it admits, places and answers the
+// work of many teams within the limits of a catalogue, and maintains the hosts.
 //
 // # Usage
 //
@@ -15,7 +15,7 @@
 	"syscall"
 )
 
-// commands lists the commands in the order of the help.
+// commands lists the commands in the order in which the help shows them.
 var commands = []*Cmd{
 	cmdEntry,
 	cmdManager,
--- a/cmd/lovagedyke/output.go
+++ b/cmd/lovagedyke/output.go
@@ -9,9 +9,9 @@
 	"text/tabwriter"
 )
 
-// output holds the flag for the form of a listing.
-type output struct {
-	form string
+// outputFlags holds the output format of a listing.
+type outputFlags struct {
+	format string
 }
 
 const (
@@ -19,13 +19,13 @@
 	outputJSON  = "json"
 )
 
-func (o *output) declare(flags *flag.FlagSet) {
-	flags.StringVar(&o.form, "output", outputTable, "form of the listing: table or json")
+func (o *outputFlags) register(flags *flag.FlagSet) {
+	flags.StringVar(&o.format, "output", outputTable, "form of the listing: table or json")
 }
 
-// write prints value as JSON, or the rows below their header.
-func (o *output) write(w io.Writer, value any, header []string, rows [][]string) error {
-	switch o.form {
+// render writes value as JSON, or the header and rows as a table.
+func (o *outputFlags) render(w io.Writer, value any, header []string, rows [][]string) error {
+	switch o.format {
 	case outputJSON:
 		return writeJSON(w, value)
 	case outputTable:
@@ -35,7 +35,7 @@
 		}
 		return table.Flush()
 	}
-	return usagef("output %q is unknown, want table or json", o.form)
+	return usagef("output %q is unknown, want table or json", o.format)
 }
 
 func writeJSON(w io.Writer, value any) error {
@@ -44,7 +44,8 @@
 	return encoder.Encode(value)
 }
 
-// oneArgument returns the only argument of a command.
+// oneArgument returns the only argument, or a usage error that says what is
+// wanted.
 func oneArgument(args []string, what string) (string, error) {
 	if len(args) != 1 {
 		return "", usagef("got %d arguments, want %s (flags go before it)", len(args), what)
--- a/internal/operator/catalogue.go
+++ b/internal/operator/catalogue.go
@@ -21,7 +21,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, api.CatalogueAnswer{Revision: state.Revision, Catalogue: state.Catalogue.API()})
+	writeJSON(w, http.StatusOK, api.CatalogueResponse{Revision: state.Revision, Catalogue: state.Catalogue.API()})
 }
 
 func (h *Handler) applyCatalogue(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -72,7 +72,7 @@
 		return
 	}
 	changes := catalogue.Diff(state.Catalogue, desired)
-	writeJSON(w, http.StatusOK, api.ChangeAnswer{
+	writeJSON(w, http.StatusOK, api.ChangeResponse{
 		Revision:  state.Revision,
 		Changes:   differences(changes),
 		Unchanged: len(changes) == 0,
@@ -104,7 +104,7 @@
 }
 
 func writeChange(w http.ResponseWriter, change revision.Change, operation string, changes []catalogue.Change) {
-	answer := api.ChangeAnswer{Accepted: true, Revision: change.Revision, Operation: operation, Changes: []api.Difference{}}
+	answer := api.ChangeResponse{Accepted: true, Revision: change.Revision, Operation: operation, Changes: []api.Difference{}}
 	status := http.StatusAccepted
 	if change.Empty() {
 		answer.Unchanged = true
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -29,7 +29,7 @@
 // giveKey registers a key by its hash: the secret never reaches a manager, and
 // a repeat after a lost answer finds the key in place.
 func (h *Handler) giveKey(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var request api.GiveKeyRequest
+	var request api.IssueKeyRequest
 	if !readJSON(w, r, &request) {
 		return
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -126,7 +126,7 @@
 		t.Errorf("repeat: got %+v, want revision 1 unchanged", again)
 	}
 	s.fleet.deaf = "entry-2"
-	key, given, err := s.client.GiveKey(ctx, "acme")
+	key, given, err := s.client.IssueKey(ctx, "acme")
 	if err != nil || given.Revision != 2 {
 		t.Fatalf("give: got %+v, %v, want revision 2", given, err)
 	}
@@ -158,7 +158,7 @@
 	ctx := context.Background()
 	s := newSetup(t)
 	must(s.client.Apply(ctx, api.ApplyRequest{Catalogue: sampleCatalogue()}))(t)
-	key, _, err := s.client.GiveKey(ctx, "acme")
+	key, _, err := s.client.IssueKey(ctx, "acme")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 			want: api.Problem{Status: 422, Reason: api.ReasonInvalid, Field: "[service orders] team", Outcome: api.OutcomeNotRun},
 		},
 		"unknown team": {
-			call: func(c *client.Client) error { _, _, err := c.GiveKey(ctx, "acne"); return err },
+			call: func(c *client.Client) error { _, _, err := c.IssueKey(ctx, "acne"); return err },
 			want: api.Problem{Status: 404, Reason: api.ReasonNotFound, Field: "team", Outcome: api.OutcomeNotRun},
 		},
 		"unknown charge": {
--- a/internal/operator/reading.go
+++ b/internal/operator/reading.go
@@ -32,7 +32,7 @@
 	writeJSON(w, http.StatusOK, h.inForce(r, number, wait))
 }
 
-func (h *Handler) inForce(r *http.Request, number uint64, wait time.Duration) api.RevisionAnswer {
+func (h *Handler) inForce(r *http.Request, number uint64, wait time.Duration) api.RevisionResponse {
 	ctx := r.Context()
 	deadline := time.NewTimer(min(wait, longestWait))
 	defer deadline.Stop()
@@ -53,9 +53,9 @@
 	}
 }
 
-func (h *Handler) confirmations(r *http.Request, number uint64) api.RevisionAnswer {
+func (h *Handler) confirmations(r *http.Request, number uint64) api.RevisionResponse {
 	confirmed, missing := h.config.Fleet.InForce(r.Context(), number)
-	return api.RevisionAnswer{
+	return api.RevisionResponse{
 		Revision:  number,
 		InForce:   len(missing) == 0,
 		Confirmed: append([]string{}, confirmed...),
--- a/pkg/api/api.go
+++ b/pkg/api/api.go
@@ -1,17 +1,17 @@
-// Package api holds the JSON types of the operators' API and of the answers
-// that an entry itself gives to callers.
+// Package api defines the JSON types of the operators' API and of the responses
+// that an entry itself sends to callers.
 //
 // # Usage
 //
 // Operators' tools use package client, which returns these types. Callers of
-// a service decode an answer of type application/problem+json into Problem and
-// look at its Outcome before they try again.
+// a service decode a response of type application/problem+json into Problem and
+// check its Outcome before they retry.
 package api
 
 // ProblemType is the media type of Problem.
 const ProblemType = "application/problem+json"
 
-// Outcome tells whether the work of a request ran.
+// Outcome states whether the work of a request ran.
 type Outcome string
 
 // The outcomes of a request. Only OutcomeNotRun makes it safe to repeat a
@@ -23,7 +23,7 @@
 	OutcomeRunning Outcome = "running"
 )
 
-// Problem is a problem detail in the sense of RFC 9457.
+// Problem is an RFC 9457 problem detail.
 type Problem struct {
 	Type   string `json:"type,omitempty"`
 	Title  string `json:"title"`
@@ -32,12 +32,12 @@
 	// Reason is a stable identifier in kebab case, such as "no-key".
 	Reason  string  `json:"reason"`
 	Outcome Outcome `json:"outcome,omitempty"`
-	// Field names the header, parameter or JSON field at fault.
+	// Field names the invalid header, parameter or JSON field.
 	Field string `json:"field,omitempty"`
-	// RetryAfter is how long to wait before asking again; 0 when that is of no use.
+	// RetryAfter is how long to wait before a retry; 0 when a retry cannot help.
 	RetryAfter Duration `json:"retry-after,omitempty"`
 	RequestID  string   `json:"request-id,omitempty"`
-	// Problems lists every mistake of a refused catalogue.
+	// Problems lists every error in a refused catalogue.
 	Problems []FieldProblem `json:"problems,omitempty"`
 	// Expected and Found are revisions, set when the reason is ReasonRevision.
 	Expected uint64 `json:"expected,omitempty"`
@@ -50,13 +50,13 @@
 	if p.Detail != "" {
 		text += ": " + p.Detail
 	}
-	for _, mistake := range p.Problems {
-		text += "\n" + mistake.String()
+	for _, problem := range p.Problems {
+		text += "\n" + problem.String()
 	}
 	return text
 }
 
-// FieldProblem is one mistake of a request.
+// FieldProblem is an error in one field of a request.
 type FieldProblem struct {
 	Field   string `json:"field"`
 	Message string `json:"message"`
--- a/pkg/api/catalogue.go
+++ b/pkg/api/catalogue.go
@@ -1,13 +1,13 @@
 package api
 
-// Catalogue is what operators declare. Teams and entries are sorted by name
-// in answers; in requests their order is free.
+// Catalogue holds the teams, services and queues that operators declare. Teams
+// and entries are sorted by name in responses, and in any order in requests.
 type Catalogue struct {
 	Teams   []Team  `json:"teams"`
 	Entries []Entry `json:"entries"`
 }
 
-// Team is a group of submitters with an upper limit across the fleet.
+// Team is a group of submitters with a fleet-wide upper limit.
 type Team struct {
 	Name       string `json:"name"`
 	UpperLimit int    `json:"upper-limit"`
@@ -23,7 +23,7 @@
 	Open  bool   `json:"open,omitempty"`
 	// Shares holds the weight of each team that may use the entry.
 	Shares map[string]int `json:"shares,omitempty"`
-	// Limit bounds what runs at once; 0 sets no bound.
+	// Limit is the maximum number of concurrent runs; 0 means no limit.
 	Limit int `json:"limit,omitempty"`
 	// MaxBody is in bytes.
 	MaxBody      int64    `json:"max-body"`
@@ -31,6 +31,6 @@
 	LongestRun   Duration `json:"longest-run"`
 	Availability float64  `json:"availability"`
 	Pool         string   `json:"pool"`
-	// Revision is the one that last changed the entry; set by the manager.
+	// Revision is the revision that last changed the entry; set by the manager.
 	Revision uint64 `json:"revision,omitempty"`
 }
--- a/pkg/api/duration.go
+++ b/pkg/api/duration.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Duration is a time.Duration that is written with units, such as "2.5s".
+// Duration is a time.Duration that is encoded with units, such as "2.5s".
 type Duration time.Duration
 
 // String returns the duration with units.
--- a/pkg/api/host.go
+++ b/pkg/api/host.go
@@ -13,12 +13,12 @@
 	// Target is the pool that the host serves next.
 	Target string `json:"target,omitempty"`
 	Epoch  uint64 `json:"epoch"`
-	// Listed tells whether the platform lists the host, and State how.
+	// Listed is set when the platform lists the host; State is the listed state.
 	Listed bool   `json:"listed"`
 	State  string `json:"state,omitempty"`
 }
 
-// DrainRequest has a host take no new work.
+// DrainRequest asks that a host take no new work.
 type DrainRequest struct {
 	// Purpose is move or maintenance.
 	Purpose string `json:"purpose"`
@@ -31,10 +31,10 @@
 	Pool string `json:"pool"`
 	// Need is the number of hosts that carry the pool's load.
 	Need int `json:"need"`
-	// Verdict is go, hold, stopped or finished, and Reason why.
+	// Verdict is go, hold, stopped or finished; Reason explains it.
 	Verdict string `json:"verdict"`
 	Reason  string `json:"reason,omitempty"`
-	// Hosts maps each host to pending, down, done, failed or lost.
+	// Hosts maps each host to its state: pending, down, done, failed or lost.
 	Hosts map[string]string `json:"hosts"`
 }
 
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,13 +1,14 @@
-// Package client talks to the operators' API of lovagedyke's managers.
+// Package client is a client for the operators' API of lovagedyke's managers.
 //
 // # Usage
 //
 //	c := client.New(client.Config{Managers: managers, Key: key})
-//	answer, err := c.Apply(ctx, api.ApplyRequest{Catalogue: desired, Expected: &seen})
+//	response, err := c.Apply(ctx, api.ApplyRequest{Catalogue: desired, Expected: &revision})
 //
-// A call that gets no answer is repeated at the next manager, a change under
-// the same operation id, so that it takes effect once. Errors are *api.Problem
-// when a manager refused, and wrap ErrUnavailable when none answered.
+// A call without a response is retried at the next manager. A change is retried
+// under the same operation id, so that it takes effect once. Errors are
+// *api.Problem when a manager refused, and wrap ErrUnavailable when none
+// answered.
 package client
 
 import (
@@ -31,16 +32,15 @@
 )
 
 const (
-	defaultAttempts = 6
-	attemptTimeout  = 15 * time.Second
-	shortestBackoff = 50 * time.Millisecond
-	longestBackoff  = 2 * time.Second
-	// maxAnswer bounds an answer, in bytes.
-	maxAnswer = 64 << 20
+	defaultAttempts  = 6
+	attemptTimeout   = 15 * time.Second
+	minBackoff       = 50 * time.Millisecond
+	maxBackoff       = 2 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-// ErrUnavailable means that no manager answered. A change may have been
-// accepted; repeating it with the same operation id tells.
+// ErrUnavailable means that no manager answered. A change may still have been
+// accepted; repeating it under the same operation id returns its result.
 var ErrUnavailable = errors.New("no manager answered")
 
 // Config configures a client.
@@ -51,11 +51,11 @@
 	Key string
 	// TLS is nil for plain HTTP.
 	TLS *tls.Config
-	// Attempts bounds how often a call is sent; 0 means 6.
+	// Attempts is the maximum number of times a call is sent; 0 means 6.
 	Attempts int
 }
 
-// Client calls managers. It may be used from any goroutine.
+// Client calls managers. It is safe for concurrent use.
 type Client struct {
 	config Config
 	http   *http.Client
@@ -70,51 +70,52 @@
 	return &Client{config: config, http: &http.Client{Transport: transport}}
 }
 
-// NewOperation returns an id for a change that may have to be repeated.
+// NewOperation returns a random operation id, under which a change can be
+// retried safely.
 func NewOperation() string {
 	return rand.Text()
 }
 
 // Catalogue returns the catalogue with its revision.
-func (c *Client) Catalogue(ctx context.Context) (api.CatalogueAnswer, error) {
-	return call[api.CatalogueAnswer](ctx, c, request{method: http.MethodGet, path: "/v1/catalogue"})
+func (c *Client) Catalogue(ctx context.Context) (api.CatalogueResponse, error) {
+	return call[api.CatalogueResponse](ctx, c, request{method: http.MethodGet, path: "/v1/catalogue"})
 }
 
-// Apply declares the whole catalogue.
-func (c *Client) Apply(ctx context.Context, in api.ApplyRequest) (api.ChangeAnswer, error) {
+// Apply replaces the whole catalogue.
+func (c *Client) Apply(ctx context.Context, in api.ApplyRequest) (api.ChangeResponse, error) {
 	if in.Operation == "" {
 		in.Operation = NewOperation()
 	}
-	return call[api.ChangeAnswer](ctx, c, request{method: http.MethodPost, path: "/v1/catalogue", body: in})
+	return call[api.ChangeResponse](ctx, c, request{method: http.MethodPost, path: "/v1/catalogue", body: in})
 }
 
 // RemoveEntry removes a service or queue. The operation id may be empty.
-func (c *Client) RemoveEntry(ctx context.Context, name, operation string, expected *uint64) (api.ChangeAnswer, error) {
+func (c *Client) RemoveEntry(ctx context.Context, name, operation string, expected *uint64) (api.ChangeResponse, error) {
 	query := operationQuery(operation)
 	if expected != nil {
 		query.Set("expected-revision", strconv.FormatUint(*expected, 10))
 	}
-	return call[api.ChangeAnswer](ctx, c, request{method: http.MethodDelete, path: "/v1/entries/" + url.PathEscape(name), query: query})
+	return call[api.ChangeResponse](ctx, c, request{method: http.MethodDelete, path: "/v1/entries/" + url.PathEscape(name), query: query})
 }
 
-// GiveKey makes a key for a team and registers it. The key is returned here
-// only; the managers know its hash.
-func (c *Client) GiveKey(ctx context.Context, team string) (key string, answer api.ChangeAnswer, err error) {
-	secret, kept, err := keyring.New(rand.Reader, team)
+// IssueKey generates a key for a team and registers it. This is the only time
+// the key is returned; the managers store its hash.
+func (c *Client) IssueKey(ctx context.Context, team string) (key string, response api.ChangeResponse, err error) {
+	secret, registered, err := keyring.New(rand.Reader, team)
 	if err != nil {
-		return "", answer, err
+		return "", response, err
 	}
-	in := api.GiveKeyRequest{ID: kept.ID, Team: team, Hash: kept.Hash, Operation: NewOperation()}
-	answer, err = call[api.ChangeAnswer](ctx, c, request{method: http.MethodPost, path: "/v1/keys", body: in})
+	keyRequest := api.IssueKeyRequest{ID: registered.ID, Team: team, Hash: registered.Hash, Operation: NewOperation()}
+	response, err = call[api.ChangeResponse](ctx, c, request{method: http.MethodPost, path: "/v1/keys", body: keyRequest})
 	if err != nil {
-		return "", answer, err
+		return "", response, err
 	}
-	return secret.Reveal(), answer, nil
+	return secret.Reveal(), response, nil
 }
 
 // WithdrawKey withdraws a key. The operation id may be empty.
-func (c *Client) WithdrawKey(ctx context.Context, id, operation string) (api.ChangeAnswer, error) {
-	return call[api.ChangeAnswer](ctx, c, request{method: http.MethodDelete, path: "/v1/keys/" + url.PathEscape(id), query: operationQuery(operation)})
+func (c *Client) WithdrawKey(ctx context.Context, id, operation string) (api.ChangeResponse, error) {
+	return call[api.ChangeResponse](ctx, c, request{method: http.MethodDelete, path: "/v1/keys/" + url.PathEscape(id), query: operationQuery(operation)})
 }
 
 // Keys lists the keys, without secrets.
@@ -122,11 +123,11 @@
 	return call[[]api.Key](ctx, c, request{method: http.MethodGet, path: "/v1/keys"})
 }
 
-// Revision tells where a revision is in force, after waiting for it at most
-// that long.
-func (c *Client) Revision(ctx context.Context, revision uint64, wait time.Duration) (api.RevisionAnswer, error) {
+// Revision reports where a revision is in force. It waits until the revision is
+// in force everywhere, up to the given time.
+func (c *Client) Revision(ctx context.Context, revision uint64, wait time.Duration) (api.RevisionResponse, error) {
 	query := url.Values{"revision": {strconv.FormatUint(revision, 10)}, "wait": {wait.String()}}
-	return call[api.RevisionAnswer](ctx, c, request{method: http.MethodGet, path: "/v1/revision", query: query, wait: wait})
+	return call[api.RevisionResponse](ctx, c, request{method: http.MethodGet, path: "/v1/revision", query: query, wait: wait})
 }
 
 // Charge returns a charge with its run.
@@ -134,7 +135,7 @@
 	return call[api.Charge](ctx, c, request{method: http.MethodGet, path: "/v1/charges/" + url.PathEscape(id)})
 }
 
-// Unproven lists the runs that cannot be proved and are not charged.
+// Unproven lists the runs that cannot be proved and are therefore not charged.
 func (c *Client) Unproven(ctx context.Context) ([]api.Run, error) {
 	return call[[]api.Run](ctx, c, request{method: http.MethodGet, path: "/v1/unproven"})
 }
@@ -144,12 +145,12 @@
 	return call[[]api.Wave](ctx, c, request{method: http.MethodGet, path: "/v1/waves"})
 }
 
-// StartWave starts a wave over a pool; one that has not finished goes on.
+// StartWave starts a wave over a pool; an unfinished wave continues.
 func (c *Client) StartWave(ctx context.Context, in api.WaveRequest) (api.Wave, error) {
 	return call[api.Wave](ctx, c, request{method: http.MethodPost, path: "/v1/waves", body: in})
 }
 
-// ResumeWave has a stopped wave go on.
+// ResumeWave resumes a stopped wave.
 func (c *Client) ResumeWave(ctx context.Context, pool string) (api.Wave, error) {
 	return call[api.Wave](ctx, c, request{method: http.MethodPost, path: "/v1/waves/" + url.PathEscape(pool) + "/resume"})
 }
@@ -164,12 +165,12 @@
 	return call[[]api.Host](ctx, c, request{method: http.MethodGet, path: "/v1/hosts"})
 }
 
-// DrainHost has a host take no new work; a repeat changes nothing.
+// DrainHost stops new work on a host. It is idempotent.
 func (c *Client) DrainHost(ctx context.Context, name string, in api.DrainRequest) (api.Host, error) {
 	return call[api.Host](ctx, c, request{method: http.MethodPost, path: "/v1/hosts/" + url.PathEscape(name) + "/drain", body: in})
 }
 
-// ReturnHost has a host serve its pool again; a repeat changes nothing.
+// ReturnHost returns a host to service in its pool. It is idempotent.
 func (c *Client) ReturnHost(ctx context.Context, name string) (api.Host, error) {
 	return call[api.Host](ctx, c, request{method: http.MethodPost, path: "/v1/hosts/" + url.PathEscape(name) + "/return"})
 }
@@ -186,8 +187,8 @@
 	return url.Values{"operation-id": {operation}}
 }
 
-// request is a call that may be repeated: each changing one bears an
-// operation id.
+// request is a call that may be retried: every change carries an operation id
+// or is idempotent.
 type request struct {
 	method, path string
 	query        url.Values
@@ -195,37 +196,37 @@
 	wait         time.Duration
 }
 
-// call sends the request to the managers in turn until one gives an answer
-// that holds.
+// call sends the request to the managers in turn, with exponential backoff,
+// until one responds conclusively.
 func call[T any](ctx context.Context, c *Client, r request) (T, error) {
-	var answer T
+	var response T
 	if len(c.config.Managers) == 0 {
-		return answer, errors.Wrap(ErrUnavailable, "no manager is configured")
+		return response, errors.Wrap(ErrUnavailable, "no manager is configured")
 	}
 	body, err := json.Marshal(r.body)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
-	backoff := shortestBackoff
+	backoff := minBackoff
 	for attempt := range c.config.Attempts {
 		manager := c.config.Managers[attempt%len(c.config.Managers)]
-		err = c.send(ctx, manager, r, body, &answer)
-		if err == nil || !mayPass(err) {
-			return answer, err
+		err = c.send(ctx, manager, r, body, &response)
+		if err == nil || !isRetryable(err) {
+			return response, err
 		}
 		if attempt == c.config.Attempts-1 || !sleep(ctx, backoff) {
 			break
 		}
-		backoff = min(2*backoff, longestBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
-	return answer, err
+	return response, err
 }
 
-// mayPass reports whether another manager or a later try may do better.
-func mayPass(err error) bool {
-	var refused *api.Problem
-	if errors.As(err, &refused) {
-		return refused.Status == http.StatusServiceUnavailable
+// isRetryable reports whether the call may succeed at another manager or later.
+func isRetryable(err error) bool {
+	var problem *api.Problem
+	if errors.As(err, &problem) {
+		return problem.Status == http.StatusServiceUnavailable
 	}
 	return errors.Is(err, ErrUnavailable)
 }
@@ -241,7 +242,7 @@
 	}
 }
 
-func (c *Client) send(ctx context.Context, manager netip.AddrPort, r request, body []byte, into any) error {
+func (c *Client) send(ctx context.Context, manager netip.AddrPort, r request, body []byte, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+r.wait)
 	defer cancel()
 	scheme := "http"
@@ -252,35 +253,35 @@
 	if len(r.query) > 0 {
 		target += "?" + r.query.Encode()
 	}
-	out, err := http.NewRequestWithContext(ctx, r.method, target, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, r.method, target, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	out.Header.Set("Authorization", "Bearer "+c.config.Key)
-	out.Header.Set("Content-Type", "application/json")
-	answer, err := c.http.Do(out)
+	httpRequest.Header.Set("Authorization", "Bearer "+c.config.Key)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		return errors.Mark(fmt.Errorf("manager %s: %w", manager, err), ErrUnavailable)
 	}
-	defer answer.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer response.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Mark(fmt.Errorf("answer of manager %s: %w", manager, err), ErrUnavailable)
+		return errors.Mark(fmt.Errorf("read response of manager %s: %w", manager, err), ErrUnavailable)
 	}
-	return decode(manager, answer, content, into)
+	return decode(manager, response, content, result)
 }
 
-func decode(manager netip.AddrPort, answer *http.Response, content []byte, into any) error {
-	if answer.StatusCode < http.StatusMultipleChoices {
-		if err := json.Unmarshal(content, into); err != nil {
-			return fmt.Errorf("answer of manager %s is malformed: %w", manager, err)
+func decode(manager netip.AddrPort, response *http.Response, content []byte, result any) error {
+	if response.StatusCode < http.StatusMultipleChoices {
+		if err := json.Unmarshal(content, result); err != nil {
+			return fmt.Errorf("response of manager %s is malformed: %w", manager, err)
 		}
 		return nil
 	}
 	problem := &api.Problem{}
 	if err := json.Unmarshal(content, problem); err != nil || problem.Title == "" {
-		problem = &api.Problem{Title: fmt.Sprintf("manager %s answered %s", manager, answer.Status), Outcome: api.OutcomeUnknown}
+		problem = &api.Problem{Title: fmt.Sprintf("manager %s answered %s", manager, response.Status), Outcome: api.OutcomeUnknown}
 	}
-	problem.Status = answer.StatusCode
+	problem.Status = response.StatusCode
 	return problem
 }
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -370,7 +370,7 @@
 	f.t.Helper()
 	var key string
 	f.eventually("key is given", func() bool {
-		given, answer, err := f.operators.GiveKey(context.Background(), "tackle")
+		given, answer, err := f.operators.IssueKey(context.Background(), "tackle")
 		key = given
 		return err == nil && f.inForce(answer.Revision)
 	})
