--- a/cmd/lovagedyke-experiment/cmd_run.go
+++ b/cmd/lovagedyke-experiment/cmd_run.go
@@ -12,11 +12,11 @@
 	"github.com/lovagedyke/lovagedyke/internal/experiment"
 )
 
-// defaultSeeds is the runs of each policy in each scenario.
+// defaultSeeds is the number of runs of each policy in each scenario.
 const defaultSeeds = 5
 
-// settings are the flags of every command.
-type settings struct {
+// options holds the flags that every subcommand takes.
+type options struct {
 	seeds      int
 	deployment string
 	output     string
@@ -38,7 +38,7 @@
 }
 
 func newPartCommand(out io.Writer, name string, parts []experiment.Part) *ffcli.Command {
-	var s settings
+	var s options
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.IntVar(&s.seeds, "seeds", defaultSeeds, "runs of each policy in each scenario")
 	flags.StringVar(&s.deployment, "deployment", "both", "tanoa, ripustus or both")
@@ -53,7 +53,7 @@
 	}
 }
 
-func (s settings) run(out io.Writer, parts []experiment.Part) error {
+func (s options) run(out io.Writer, parts []experiment.Part) error {
 	if s.seeds < 1 {
 		return errors.Newf("--seeds is %d, want at least 1", s.seeds)
 	}
--- a/cmd/lovagedyke-experiment/cmd_run_test.go
+++ b/cmd/lovagedyke-experiment/cmd_run_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidFlags(t *testing.T) {
 	for name, tc := range map[string]struct {
 		args []string
 		want string
--- a/cmd/lovagedyke-experiment/main.go
+++ b/cmd/lovagedyke-experiment/main.go
@@ -1,4 +1,5 @@
-// Command lovagedyke-experiment measures the policies beside their baselines.
+// Command lovagedyke-experiment compares the policies with their baselines in
+// virtual time.
 package main
 
 import (
--- a/cmd/lovagedyke-standin/cmd_fleet.go
+++ b/cmd/lovagedyke-standin/cmd_fleet.go
@@ -17,16 +17,18 @@
 )
 
 const (
-	// taskTime is how long each task of the demo takes.
-	taskTime = 200 * time.Millisecond
-	// fleetSteps and fleetTasks are a job's steps and the tasks of each.
-	fleetSteps, fleetTasks = 2, 4
-	// jobPause is the time between two jobs.
-	jobPause = 60 * time.Millisecond
-	// answerTime bounds a caller's patience, and jobTime waiting for a job's end.
-	answerTime = 3 * time.Second
-	jobTime    = time.Minute
-	// portsPerNode is how many ports a node has.
+	// taskDuration is the run time of each task.
+	taskDuration = 200 * time.Millisecond
+	// Every job has stepsPerJob steps of tasksPerStep tasks each.
+	stepsPerJob, tasksPerStep = 2, 4
+	// jobInterval is the time between submissions, retries and polls.
+	jobInterval = 60 * time.Millisecond
+	// requestTimeout bounds one request, jobTimeout submitting a job or waiting
+	// for its completion.
+	requestTimeout = 3 * time.Second
+	jobTimeout     = time.Minute
+	// portsPerNode is the number of listening ports of a node: callers,
+	// readiness and peers.
 	portsPerNode = 3
 )
 
@@ -50,106 +52,109 @@
 		Name:      "fleet",
 		ShortHelp: "the platform of 'lovagedyke node', with callers; ends with a check",
 		FlagSet:   flags,
-		Exec:      func(ctx context.Context, _ []string) error { return playFleet(ctx, options) },
+		Exec:      func(ctx context.Context, _ []string) error { return runFleet(ctx, options) },
 	}
 }
 
-// playFleet plays the platform, hands in jobs while an endpoint crashes, and
-// checks what the endpoints and the callers saw.
-func playFleet(ctx context.Context, options fleetOptions) error {
-	stage, err := standin.New(standin.Config{Hosts: options.hosts, TaskTime: taskTime})
+// runFleet runs the stand-in platform, submits jobs, crashes an endpoint halfway
+// and checks the results that endpoints and callers observed.
+func runFleet(ctx context.Context, options fleetOptions) error {
+	platform, err := standin.New(standin.Config{Hosts: options.hosts, TaskTime: taskDuration})
 	if err != nil {
-		return errors.Wrap(err, "open the platform")
+		return errors.Wrap(err, "start the stand-in platform")
 	}
-	defer stage.Close()
-	nodes, err := writeSettings(stage, options)
+	defer platform.Close()
+	nodes, err := writeSettings(platform, options)
 	if err != nil {
 		return err
 	}
-	stage.WritePolicy(1)
+	platform.WritePolicy(1)
 	for n := range options.jobs {
 		if n == options.jobs/2 {
-			stage.CrashHost(1)
+			platform.CrashHost(1)
 		}
-		if err := handIn(ctx, stage, nodes, n); err != nil {
+		if err := submitJob(ctx, platform, nodes, n); err != nil {
 			return err
 		}
-		time.Sleep(jobPause)
+		time.Sleep(jobInterval)
 	}
 	complete := 0
 	for n := range options.jobs {
-		if awaitEnd(ctx, stage, nodes, n) {
+		if waitForCompletion(ctx, platform, nodes, n) {
 			complete++
 		}
 	}
-	return checkFleet(stage, options.jobs, complete)
+	return checkFleet(platform, options.jobs, complete)
 }
 
-// writeSettings writes a settings file a node, and returns the callers' addresses.
-func writeSettings(stage *standin.Stage, options fleetOptions) ([]netip.AddrPort, error) {
+// writeSettings writes a settings file per node and returns the addresses on
+// which the nodes serve callers.
+func writeSettings(platform *standin.Stage, options fleetOptions) ([]netip.AddrPort, error) {
 	var callers []netip.AddrPort
 	loopback := netip.MustParseAddr("127.0.0.1")
 	for n := range options.nodes {
 		first := uint16(options.firstPort) + uint16(n*portsPerNode)
 		name := fmt.Sprintf("node-%d", n+1)
 		address := func(i uint16) netip.AddrPort { return netip.AddrPortFrom(loopback, first+i) }
-		text := stage.Settings(name, address(0), address(1), address(2))
+		text := platform.Settings(name, address(0), address(1), address(2))
 		if err := os.WriteFile(filepath.Join(options.dir, name+".json"), text, 0o600); err != nil {
-			return nil, errors.Wrap(err, "write a node's settings")
+			return nil, errors.Wrapf(err, "write settings of %s", name)
 		}
 		callers = append(callers, address(0))
 	}
 	return callers, nil
 }
 
-// handIn hands a job in, at another node after each failure, as callers do.
-func handIn(ctx context.Context, stage *standin.Stage, nodes []netip.AddrPort, n int) error {
-	end := time.Now().Add(jobTime)
-	for try := n; time.Now().Before(end) && ctx.Err() == nil; try++ {
-		call, cancel := context.WithTimeout(ctx, answerTime)
-		status := stage.Submit(call, nodes[try%len(nodes)], fleetJob(n), fleetSteps, fleetTasks)
+// submitJob submits a job, and retries at the next node after each failure as
+// callers do.
+func submitJob(ctx context.Context, platform *standin.Stage, nodes []netip.AddrPort, n int) error {
+	deadline := time.Now().Add(jobTimeout)
+	for attempt := n; time.Now().Before(deadline) && ctx.Err() == nil; attempt++ {
+		callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+		status := platform.Submit(callCtx, nodes[attempt%len(nodes)], jobID(n), stepsPerJob, tasksPerStep)
 		cancel()
 		if status == 200 {
 			return nil
 		}
-		time.Sleep(jobPause)
+		time.Sleep(jobInterval)
 	}
-	return errors.Newf("job %s was not accepted", fleetJob(n))
+	return errors.Newf("job %s was not accepted by any node", jobID(n))
 }
 
-// awaitEnd waits until a job is shown as complete.
-func awaitEnd(ctx context.Context, stage *standin.Stage, nodes []netip.AddrPort, n int) bool {
-	end := time.Now().Add(jobTime)
-	for try := n; time.Now().Before(end) && ctx.Err() == nil; try++ {
-		call, cancel := context.WithTimeout(ctx, answerTime)
-		state := stage.State(call, nodes[try%len(nodes)], fleetJob(n))
+// waitForCompletion reports whether a job completes within jobTimeout.
+func waitForCompletion(ctx context.Context, platform *standin.Stage, nodes []netip.AddrPort, n int) bool {
+	deadline := time.Now().Add(jobTimeout)
+	for attempt := n; time.Now().Before(deadline) && ctx.Err() == nil; attempt++ {
+		callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+		state := platform.State(callCtx, nodes[attempt%len(nodes)], jobID(n))
 		cancel()
 		if state == "complete" {
 			return true
 		}
-		time.Sleep(jobPause)
+		time.Sleep(jobInterval)
 	}
 	return false
 }
 
-func fleetJob(n int) string {
+func jobID(n int) string {
 	return fmt.Sprintf("%016x", n+1)
 }
 
-// checkFleet prints what was seen; anything but whole jobs, each task once, is an error.
-func checkFleet(stage *standin.Stage, jobs, complete int) error {
+// checkFleet prints the results. It returns an error unless every job and task
+// completed and no task was started twice.
+func checkFleet(platform *standin.Stage, jobs, complete int) error {
 	done := 0
 	for n := range jobs {
-		done += stage.DoneTasks(fleetJob(n))
+		done += platform.DoneTasks(jobID(n))
 	}
-	seen := stage.Report()
-	want := jobs * fleetSteps * fleetTasks
+	report := platform.Report()
+	want := jobs * stepsPerJob * tasksPerStep
 	fmt.Printf("%-32s %6d of %d\n", "jobs complete", complete, jobs)
 	fmt.Printf("%-32s %6d of %d\n", "tasks done", done, want)
-	fmt.Printf("%-32s %6d\n", "runs", seen.Runs)
-	fmt.Printf("%-32s %6d\n", "tasks started twice", len(seen.Doubles))
-	if complete != jobs || done != want || len(seen.Doubles) != 0 {
-		return errors.New("not all is as it has to be")
+	fmt.Printf("%-32s %6d\n", "runs", report.Runs)
+	fmt.Printf("%-32s %6d\n", "tasks started twice", len(report.Doubles))
+	if complete != jobs || done != want || len(report.Doubles) != 0 {
+		return errors.New("check failed: want every job and task complete and no task started twice")
 	}
 	return nil
 }
--- a/cmd/lovagedyke-standin/cmd_load.go
+++ b/cmd/lovagedyke-standin/cmd_load.go
@@ -40,7 +40,7 @@
 	flags.DurationVar(&cfg.Timeout, "timeout", 0, "longest wait for an answer; 30s if zero")
 	flags.StringVar(&cfg.Behaviour, "behaviour", "", "behaviour asked of the endpoint")
 	flags.DurationVar(&cfg.RunTime, "run-time", 0, "run time asked of the endpoint")
-	// The team is known by its key; the flag labels the report.
+	// Entries identify the team by its key; the flag only labels the report.
 	team := flags.String("team", "", "label of the report")
 	return &ffcli.Command{
 		Name:      "load",
--- a/cmd/lovagedyke-standin/cmd_report.go
+++ b/cmd/lovagedyke-standin/cmd_report.go
@@ -23,16 +23,16 @@
 	api "github.com/lovagedyke/lovagedyke/internal/worker"
 )
 
-// Prefixes of the rows that are named after runs.
+// Key prefixes of the table rows that are named after runs.
 const (
 	chargePrefix   = "charge/"
 	unprovenPrefix = "charge-unproven/"
 )
 
-// errChecksFailed ends the program with a failure after the table was printed.
+// errChecksFailed sets the exit code after the table of checks was printed.
 var errChecksFailed = errors.New("checks failed")
 
-// reportSources says where the evidence is.
+// reportSources holds the sources of the evidence, and the evidence collected.
 type reportSources struct {
 	evidence  report.Evidence
 	platform  string
@@ -42,20 +42,20 @@
 
 func reportCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("report", flag.ContinueOnError)
-	s := &reportSources{evidence: report.Evidence{
+	sources := &reportSources{evidence: report.Evidence{
 		Loads: make(map[string]load.Report), Limits: make(map[string]int), RunsPerTask: make(map[string]int),
 	}}
-	flags.StringVar(&s.platform, "platform", "", "address of the platform stand-in")
-	flags.Func("endpoint", "address of an endpoint; repeatable", appendTo(&s.endpoints))
-	flags.Func("worker", "address of a worker; repeatable", appendTo(&s.workers))
-	flags.Func("load", "name=file of a load report; repeatable", s.addLoad)
-	flags.Func("limit", "team=limit; repeatable", s.addLimit)
-	flags.Func("withdrawn", "load=time at which the withdrawal of its key was accepted", s.setWithdrawn)
+	flags.StringVar(&sources.platform, "platform", "", "address of the platform stand-in")
+	flags.Func("endpoint", "address of an endpoint; repeatable", appendTo(&sources.endpoints))
+	flags.Func("worker", "address of a worker; repeatable", appendTo(&sources.workers))
+	flags.Func("load", "name=file of a load report; repeatable", sources.addLoad)
+	flags.Func("limit", "team=limit; repeatable", sources.addLimit)
+	flags.Func("withdrawn", "load=time at which the withdrawal of its key was accepted", sources.setWithdrawn)
 	return &ffcli.Command{
 		Name:      "report",
 		ShortHelp: "compare what ran with what was answered and charged",
 		FlagSet:   flags,
-		Exec:      s.run,
+		Exec:      sources.run,
 	}
 }
 
@@ -72,11 +72,11 @@
 	if err != nil {
 		return err
 	}
-	var l load.Report
-	if err := json.Unmarshal(content, &l); err != nil {
+	var loaded load.Report
+	if err := json.Unmarshal(content, &loaded); err != nil {
 		return errors.Wrapf(err, "decode %q", file)
 	}
-	s.evidence.Loads[name] = l
+	s.evidence.Loads[name] = loaded
 	return nil
 }
 
@@ -94,7 +94,8 @@
 	return err
 }
 
-// run collects the evidence, prints the table and fails if a check does.
+// run collects the evidence, prints the table of checks and returns an error if
+// any of them failed.
 func (s *reportSources) run(ctx context.Context, _ []string) error {
 	if err := s.collect(ctx); err != nil {
 		return err
@@ -121,7 +122,7 @@
 		for _, run := range stats.Runs {
 			s.evidence.Tasks = append(s.evidence.Tasks, report.Interval{Team: run.Team, Start: run.Start, End: run.End})
 			if run.State == api.Done {
-				s.evidence.TasksDone = append(s.evidence.TasksDone, chargedAs(run.ID))
+				s.evidence.TasksDone = append(s.evidence.TasksDone, chargeRunID(run.ID))
 			}
 		}
 		for task, runs := range stats.RunsPerTask {
@@ -131,8 +132,9 @@
 	return s.collectCharges(ctx)
 }
 
-// chargedAs returns the run id on the charge of a start "<queue>/<task>.<attempt>".
-func chargedAs(start string) string {
+// chargeRunID converts the id of a start, "<queue>/<task>.<attempt>", to the run
+// id on its charge, "<queue>-<task>.0.<attempt>".
+func chargeRunID(start string) string {
 	name, attempt, _ := strings.Cut(start, ".")
 	return strings.Replace(name, "/", "-", 1) + ".0." + attempt
 }
@@ -140,19 +142,19 @@
 func (s *reportSources) collectCharges(ctx context.Context) error {
 	address, err := netip.ParseAddrPort(s.platform)
 	if err != nil {
-		return errors.Wrap(err, "platform")
+		return errors.Wrap(err, "parse platform address")
 	}
 	client := platform.New(platform.Config{Address: address, Process: "report"})
 	defer client.Close()
-	if s.evidence.Charged, err = runsUnder(ctx, client, chargePrefix); err != nil {
+	if s.evidence.Charged, err = listRunIDs(ctx, client, chargePrefix); err != nil {
 		return err
 	}
-	s.evidence.Unproven, err = runsUnder(ctx, client, unprovenPrefix)
+	s.evidence.Unproven, err = listRunIDs(ctx, client, unprovenPrefix)
 	return err
 }
 
-// runsUnder returns the run ids of the rows with the prefix.
-func runsUnder(ctx context.Context, client *platform.Client, prefix string) ([]string, error) {
+// listRunIDs returns the run ids of the rows whose keys have the prefix.
+func listRunIDs(ctx context.Context, client *platform.Client, prefix string) ([]string, error) {
 	rows, err := client.Scan(ctx, prefix)
 	if err != nil {
 		return nil, err
@@ -164,15 +166,15 @@
 	return ids, nil
 }
 
-func getStats(ctx context.Context, address string, into any) error {
+func getStats(ctx context.Context, address string, result any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/standin/stats", address), nil)
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	return errors.Wrapf(json.NewDecoder(answer.Body).Decode(into), "stats of %s", address)
+	defer func() { _ = response.Body.Close() }()
+	return errors.Wrapf(json.NewDecoder(response.Body).Decode(result), "decode stats of %s", address)
 }
--- a/cmd/lovagedyke-standin/main.go
+++ b/cmd/lovagedyke-standin/main.go
@@ -1,5 +1,5 @@
-// Command lovagedyke-standin runs small fakes of the systems outside
-// lovagedyke: the platform, a service's endpoint, a worker, and callers.
+// Command lovagedyke-standin runs stand-ins for the systems around lovagedyke:
+// the platform, a service's endpoint, a worker and callers.
 package main
 
 import (
@@ -32,8 +32,8 @@
 	}
 	err := root.ParseAndRun(ctx, os.Args[1:])
 	if err != nil && !errors.Is(err, flag.ErrHelp) {
-		// The error itself would be logged with its stack trace.
-		logger.Error("failed", "error", err.Error())
+		// err.Error() leaves out the stack trace.
+		logger.Error("command failed", "error", err.Error())
 		os.Exit(1)
 	}
 }
