--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Entry point: `make demo` runs the whole system on loopback, `make test` passes the tests.
+# `make demo` runs the whole system on loopback, `make test` runs the tests.
 BIN := $(CURDIR)/bin
 GO_FILES := $(shell git ls-files '*.go' | grep -vE '\.pb\.go$$|\.twirp\.go$$')
 
@@ -11,12 +11,12 @@
 	./test/demo.sh
 	./test/demo-node.sh
 
-# Packages with property tests take a seed, so that each run is the same.
+# Packages with property tests get a fixed seed, so that runs are reproducible.
 RAPID_PACKAGES := $(shell git grep -l '"pgregory.net/rapid"' -- '*_test.go' | xargs -n1 dirname | sort -u | sed 's|^|./|')
 RAPID_SEED := 1
 MODULE := github.com/lovagedyke/lovagedyke
 
-# Tests listed in KNOWN-RED.txt, one "test: <name>" line each, are passed over.
+# Tests listed in KNOWN-RED.txt, one "test: <name>" line each, are skipped.
 KNOWN_RED := $(shell sed -n 's/^test: //p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
 SKIP := $(if $(KNOWN_RED),-skip '$(KNOWN_RED)')
 
@@ -39,7 +39,8 @@
 fuzz:
 	./test/fuzz.sh
 
-# Fifty seeds of harm to real processes, one after the other; SEED is the first.
+# Runs 50 soak seeds in sequence, with faults injected into real processes; SEED is
+# the first.
 SEED := 1
 soak:
 	go test -count=1 -timeout 1h -v ./test -run TestSoakByHand -soak-seed $(SEED) -soak-seeds 50
--- a/test/demo.sh
+++ b/test/demo.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Runs the whole system on loopback, drives it through failures, and checks
-# what endpoints and callers saw. Needs the binaries in bin/.
+# Runs the whole system on loopback under load, injects failures, and checks the
+# results at endpoints and callers. Needs the binaries in bin/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$PWD/bin
 work=$(mktemp -d)
 pids=()
 
-# cleanup stops what this script started, and nothing else.
+# cleanup stops the processes that this script started, and no others.
 cleanup() {
 	local pid
 	for pid in "${pids[@]:-}"; do
@@ -23,7 +23,7 @@
 
 say() { printf '\033[1mdemo:\033[0m %s\n' "$*"; }
 
-# start <name> <command...> runs a process in the background, its log in $work.
+# start <name> <command...> runs a process in the background and logs to $work.
 start() {
 	local name=$1
 	shift
@@ -44,7 +44,7 @@
 	fi
 }
 
-# free_port prints a loopback address that nothing listens on.
+# free_port sets $address to a loopback address that nothing listens on.
 next_port=$((15000 + RANDOM % 16000))
 free_port() {
 	while (exec 3<>"/dev/tcp/127.0.0.1/$next_port") 2>/dev/null; do
@@ -104,7 +104,8 @@
 
 ready() { curl -sf "http://${addr[$1]}/readyz"; }
 
-# load <name> <flags...> starts the load tool; its report is $work/<name>.json.
+# load <name> <flags...> starts the load tool, which writes its report to
+# $work/<name>.json.
 load() {
 	local name=$1
 	shift
@@ -161,21 +162,21 @@
 
 export LOVAGEDYKE_MANAGER=${addr[operator-1]},${addr[operator-2]},${addr[operator-3]}
 export LOVAGEDYKE_OPERATOR_KEY_FILE=$work/operator.key
-say "apply the catalogue and give two teams keys"
-eventually 5 "managers that know each other" ctl catalogue apply -wait 5s test/demo.ini
+say "apply the catalogue and issue keys to two teams"
+eventually 5 "the managers to accept the catalogue" ctl catalogue apply -wait 5s test/demo.ini
 tackle=$(ctl key give -wait 5s tackle)
 charters=$(ctl key give -wait 5s charters)
 spare=$(ctl key give -wait 5s tackle)
 sleep 1.5
 
-say "load from both teams; marked requests through two entries at once"
+say "start load from both teams; idempotent requests go through two entries at once"
 load tackle -service orders -key "$tackle" -rate 400 -duration 24s -body 200 -deadline 3s -concurrency 64
 load charters -service bookings -key "$charters" -rate 300 -duration 24s -body 200 -deadline 3s -concurrency 64
 load marked -service orders -key "$tackle" -rate 40 -duration 24s -body 100 -marked -copies 2 -deadline 3s
 load withdrawn -service orders -key "$spare" -rate 100 -duration 12s -deadline 3s
 sleep 3
 
-say "submit tasks, every third of them twice through two entries"
+say "submit tasks, every third one through two entries"
 submit() { # <entry> <key>
 	curl -sf -X POST "http://${addr[caller-$1]}/plans/tasks" -H "Authorization: Bearer $charters" \
 		-H "Idempotency-Key: $2" -d '{"cpus":1,"memory":1048576,"run-time":"300ms"}' >>"$work/tasks.json"
@@ -218,7 +219,7 @@
 await tackle charters marked withdrawn
 sleep 2
 
-say "what was checked, as counted by the endpoints themselves"
+say "check the results against the counts of the endpoints"
 endpoints=()
 for i in 1 2 3 4; do endpoints+=(-endpoint "${addr[orders-$i]}" -endpoint "${addr[bookings-$i]}"); done
 endpoints+=(-endpoint "${addr[orders-5]}")
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -13,8 +13,9 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// checkMarked asserts what holds of marked requests whatever fails.
-func (f *fleet) checkMarked(report load.Report) {
+// checkIdempotent asserts that no idempotent request ran twice and that none
+// answered not-run had run.
+func (f *testFleet) checkIdempotent(report load.Report) {
 	f.t.Helper()
 	runs := f.runsPerKey()
 	for key, got := range runs {
@@ -29,97 +30,101 @@
 	}
 }
 
-// checkWhole asserts that every request had its own whole answer.
-func (f *fleet) checkWhole(report load.Report) {
+// checkResponses asserts that some requests were served and that every request
+// got its own complete response.
+func (f *testFleet) checkResponses(report load.Report) {
 	f.t.Helper()
 	if report.OK == 0 {
 		f.t.Errorf("served: got 0 of %d, want some", report.Sent)
 	}
 	if got := report.Wrong + report.Cut + report.Errors; got != 0 {
-		f.t.Errorf("wrong, cut or lost answers: got %d (%s), want 0", got, report.LastError)
+		f.t.Errorf("wrong, truncated or lost responses: got %d (%s), want 0", got, report.LastError)
 	}
 }
 
-// checkLimit asserts that the team never ran more than its upper limit.
-func (f *fleet) checkLimit(limit int) {
+// checkUpperLimit asserts that the team had runs, and never more at once than its
+// upper limit.
+func (f *testFleet) checkUpperLimit(limit int) {
 	f.t.Helper()
-	got := f.greatestRunning()
+	got := f.maxConcurrentRuns()
 	if got > limit {
-		f.t.Errorf("greatest running: got %d, want at most %d", got, limit)
+		f.t.Errorf("maximum concurrent runs: got %d, want at most %d", got, limit)
 	}
 	if got == 0 {
-		f.t.Error("greatest running: got 0, want some")
+		f.t.Error("maximum concurrent runs: got 0, want some")
 	}
 }
 
-// Entries are replaced one after the other; nobody's request is cut.
-func TestReplacingAllEntriesCutsNothing(t *testing.T) {
+// Replacing the entries one after the other under load truncates no response.
+func TestRollingEntryReplacement(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	names := []string{"entry-1", "entry-2", "entry-3"}
-	config := f.loadOn(names...)
+	config := f.loadConfig(names...)
 	config.Rate = 200
-	stop := f.background(config)
+	stop := f.startLoad(config)
 	for i, name := range names {
 		f.stop(name)
 		f.start("entry", i+1)
-		f.ready()
+		f.awaitReady()
 	}
 	report := stop()
-	f.checkWhole(report)
-	f.checkLimit(teamLimit)
+	f.checkResponses(report)
+	f.checkUpperLimit(teamLimit)
 	t.Logf("%d of %d served, reasons %v", report.OK, report.Sent, report.Reasons)
 }
 
-// An entry dies with work running. The limit holds while that work may run on,
-// and its permits come back on evidence.
-func TestKilledEntryKeepsTheLimitAndFreesItsPermits(t *testing.T) {
+// An entry is killed while its requests run. The upper limit holds while they may
+// still be running, and the permits return to the others once there is evidence
+// that the entry is gone.
+func TestKilledEntryReleasesPermits(t *testing.T) {
 	f := newFleet(t, 3, 2)
-	long := f.loadOn("entry-1")
+	long := f.loadConfig("entry-1")
 	long.RunTime, long.Concurrency = 2*time.Second, 12
-	stopLong := f.background(long)
-	f.eventually("entry 1 runs much of the limit", func() bool { return f.permits("entry-1").InUse >= teamLimit/2 })
+	stopLong := f.startLoad(long)
+	f.eventually("entry 1 runs half of the limit", func() bool { return f.permits("entry-1").InUse >= teamLimit/2 })
 	f.kill("entry-1")
-	short := f.loadOn("entry-2", "entry-3")
+	short := f.loadConfig("entry-2", "entry-3")
 	short.RunTime = 200 * time.Millisecond
-	stopShort := f.background(short)
-	f.unlistHost("host-entry-1")
-	killed := time.Now()
-	f.eventually("the others hold the whole limit", func() bool { return f.held("entry-2", "entry-3") == teamLimit })
-	t.Logf("permits stood idle for %s", time.Since(killed).Round(time.Millisecond))
+	stopShort := f.startLoad(short)
+	f.deregisterHost("host-entry-1")
+	deregistered := time.Now()
+	f.eventually("the others hold the whole limit", func() bool { return f.heldPermits("entry-2", "entry-3") == teamLimit })
+	t.Logf("permits were idle for %s", time.Since(deregistered).Round(time.Millisecond))
 	stopLong()
 	report := stopShort()
-	f.checkLimit(teamLimit)
+	f.checkUpperLimit(teamLimit)
 	if report.OK == 0 {
 		t.Errorf("served by the others: got 0 of %d, want some", report.Sent)
 	}
 }
 
-// One entry takes all of a team's load and gets nearly all of its limit.
-func TestOneEntryCanUseTheLimit(t *testing.T) {
+// A single entry that receives all of a team's load can use nearly all of the
+// team's upper limit.
+func TestOneEntryUsesWholeLimit(t *testing.T) {
 	f := newFleet(t, 3, 1)
-	config := f.loadOn("entry-1")
+	config := f.loadConfig("entry-1")
 	config.RunTime = 300 * time.Millisecond
-	stop := f.background(config)
+	stop := f.startLoad(config)
 	// 95% of 12 permits, rounded down.
 	f.eventually("entry 1 runs 95% of the limit", func() bool { return f.permits("entry-1").InUse >= 11 })
 	stop()
-	f.checkLimit(teamLimit)
+	f.checkUpperLimit(teamLimit)
 }
 
-// The limit is lowered under load: nothing new starts until what runs is
-// within it, and nothing is cut.
+// The upper limit is lowered under load: no run starts until the running ones are
+// within the new limit, and no response is truncated.
 func TestLoweredLimit(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	config := f.loadOn("entry-1", "entry-2")
+	config := f.loadConfig("entry-1", "entry-2")
 	config.RunTime = 50 * time.Millisecond
-	stop := f.background(config)
-	f.eventually("load uses the limit", func() bool { return f.greatestRunning() > 4 })
-	f.apply(4)
-	f.eventually("entries hold the new limit", func() bool { return f.held("entry-1", "entry-2") == 4 })
+	stop := f.startLoad(config)
+	f.eventually("load uses the limit", func() bool { return f.maxConcurrentRuns() > 4 })
+	f.applyLimit(4)
+	f.eventually("entries hold the new limit", func() bool { return f.heldPermits("entry-1", "entry-2") == 4 })
 	lowered := time.Now()
 	time.Sleep(500 * time.Millisecond)
 	report := stop()
-	f.checkWhole(report)
+	f.checkResponses(report)
 	var after []interval
 	for _, server := range f.endpoints {
 		for _, run := range server.Stats().Runs {
@@ -128,140 +133,142 @@
 			}
 		}
 	}
-	if got := overlap(after); got > 4 || got == 0 {
-		t.Errorf("greatest running after the change: got %d, want 1 to 4", got)
+	if got := maxOverlap(after); got > 4 || got == 0 {
+		t.Errorf("maximum concurrent runs after the change: got %d, want 1 to 4", got)
 	}
 }
 
-// The table is away: marked and unmarked work goes on, with a copy of each
-// marked request at another entry, and an entry dies meanwhile.
+// The table is unavailable and then loses its responses: idempotent requests, each
+// sent to two entries at once, are still served and run at most once.
 func TestTableOutage(t *testing.T) {
 	f := newFleet(t, 3, 2)
-	config := f.loadOn("entry-1", "entry-2", "entry-3")
+	config := f.loadConfig("entry-1", "entry-2", "entry-3")
 	config.Marked, config.Copies, config.Rate = true, 2, 60
-	stop := f.background(config)
+	stop := f.startLoad(config)
 	time.Sleep(time.Second)
-	f.faults(`{"down":true}`)
+	f.injectFaults(`{"down":true}`)
 	time.Sleep(5 * time.Second)
-	during := f.loadOn("entry-1", "entry-2", "entry-3")
+	during := f.loadConfig("entry-1", "entry-2", "entry-3")
 	during.Marked, during.Requests = true, 100
-	duringReport := f.run(during)
-	f.faults(`{"lose-answers":true}`)
+	duringReport := f.runLoad(during)
+	f.injectFaults(`{"lose-answers":true}`)
 	time.Sleep(time.Second)
-	f.faults(`{}`)
+	f.injectFaults(`{}`)
 	time.Sleep(time.Second)
 	report := stop()
-	f.checkMarked(report)
-	f.checkMarked(duringReport)
-	f.checkWhole(report)
+	f.checkIdempotent(report)
+	f.checkIdempotent(duringReport)
+	f.checkResponses(report)
 	if got, want := duringReport.OK, 95; got < want {
-		t.Errorf("marked requests served during the outage: got %d of 100 (%v), want %d", got, duringReport.Reasons, want)
+		t.Errorf("idempotent requests served during the outage: got %d of 100 (%v), want %d", got, duringReport.Reasons, want)
 	}
 }
 
-// A home of claims dies during an outage; its ids are refused or unknown, and
-// none runs twice, also when the table is back.
-func TestEntryDiesDuringTableOutage(t *testing.T) {
+// The primary replica of some claims is killed during a table outage. Requests
+// under its ids are refused or have an unknown outcome, and none runs twice, also
+// once the table is available again.
+func TestEntryCrashDuringTableOutage(t *testing.T) {
 	f := newFleet(t, 3, 2)
-	config := f.loadOn("entry-1", "entry-2")
+	config := f.loadConfig("entry-1", "entry-2")
 	config.Marked, config.Copies, config.Rate = true, 2, 60
-	stop := f.background(config)
+	stop := f.startLoad(config)
 	time.Sleep(time.Second)
-	f.faults(`{"down":true}`)
+	f.injectFaults(`{"down":true}`)
 	time.Sleep(time.Second)
 	f.kill("entry-3")
 	time.Sleep(2 * time.Second)
 	f.start("entry", 3)
 	time.Sleep(time.Second)
-	f.faults(`{}`)
-	f.ready()
+	f.injectFaults(`{}`)
+	f.awaitReady()
 	time.Sleep(time.Second)
 	report := stop()
-	f.checkMarked(report)
-	f.checkWhole(report)
-	f.checkLimit(teamLimit)
+	f.checkIdempotent(report)
+	f.checkResponses(report)
+	f.checkUpperLimit(teamLimit)
 	t.Logf("%d of %d served, reasons %v", report.OK, report.Sent, report.Reasons)
 }
 
-// A key is withdrawn while an entry is paused; the entry refuses it on waking.
+// A key is withdrawn while an entry is paused; the entry refuses the key once it
+// resumes.
 func TestWithdrawnKeyAtAPausedEntry(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	spare := f.giveKey()
+	spare := f.issueKey()
 	f.signal("entry-2", syscall.SIGSTOP)
 	id := strings.SplitN(strings.TrimPrefix(spare, "lk_"), "_", 2)[0]
 	if _, err := f.operators.WithdrawKey(context.Background(), id, ""); err != nil {
 		t.Fatal(err)
 	}
-	// Longer than the freshness bound: the entry cannot have confirmed its copy.
+	// Longer than the freshness bound, so that the entry's copy of the keys is stale.
 	time.Sleep(4 * time.Second)
 	f.signal("entry-2", syscall.SIGCONT)
-	config := f.loadOn("entry-2")
+	config := f.loadConfig("entry-2")
 	config.Probes = nil
 	config.Key, config.Requests = spare, 50
-	report := f.run(config)
+	report := f.runLoad(config)
 	if got := report.OK; got != 0 {
 		t.Errorf("requests with the withdrawn key: got %d served, want 0", got)
 	}
 	f.eventually("entry 2 serves valid keys again", func() bool {
 		config.Key, config.Requests = f.key, 1
-		return f.run(config).OK == 1
+		return f.runLoad(config).OK == 1
 	})
 }
 
-// An entry is cut off from the table alone: a withdrawal still reaches it
-// through its peers.
+// An entry cannot reach the table but can reach its peers: it learns of a
+// withdrawn key from them.
 func TestWithdrawnKeyAtAnEntryWithoutTable(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	spare := f.giveKey()
-	f.faults(`{"down":true,"processes":["entry-2"]}`)
+	spare := f.issueKey()
+	f.injectFaults(`{"down":true,"processes":["entry-2"]}`)
 	id := strings.SplitN(strings.TrimPrefix(spare, "lk_"), "_", 2)[0]
 	if _, err := f.operators.WithdrawKey(context.Background(), id, ""); err != nil {
 		t.Fatal(err)
 	}
-	config := f.loadOn("entry-2")
+	config := f.loadConfig("entry-2")
 	config.Key, config.Requests = spare, 1
-	f.eventually("entry 2 refuses the key", func() bool { return f.run(config).OK == 0 })
-	valid := f.loadOn("entry-2")
+	f.eventually("entry 2 refuses the key", func() bool { return f.runLoad(config).OK == 0 })
+	valid := f.loadConfig("entry-2")
 	valid.Requests = 20
-	report := f.run(valid)
+	report := f.runLoad(valid)
 	if got, want := report.OK, 20; got != want {
 		t.Errorf("valid key without the table: got %d served (%v), want %d", got, report.Reasons, want)
 	}
 }
 
-// A manager dies in the middle; another goes on, and a repeated change has one
-// result.
-func TestManagerDies(t *testing.T) {
+// A manager is killed; another one applies the next change.
+func TestManagerCrash(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	f.kill("manager-1")
-	f.unlistHost("host-manager-1")
-	f.apply(9)
+	f.deregisterHost("host-manager-1")
+	f.applyLimit(9)
 	f.eventually("the members hold the new limit", func() bool {
-		return f.held("entry-1", "entry-2", "manager-2", "manager-3") == 9
+		return f.heldPermits("entry-1", "entry-2", "manager-2", "manager-3") == 9
 	})
-	answer, err := f.operators.Catalogue(context.Background())
+	response, err := f.operators.Catalogue(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := answer.Catalogue.Teams[0].UpperLimit, 9; got != want {
+	if got, want := response.Catalogue.Teams[0].UpperLimit, 9; got != want {
 		t.Errorf("upper limit: got %d, want %d", got, want)
 	}
 }
 
-// A host drains under load while the platform's list still calls it live: it
-// gets nothing new after a few seconds, nothing is cut, and it returns.
-func TestDrainedHostGetsNothingNew(t *testing.T) {
+// A host is drained under load while the platform still lists it as live: once
+// drained it gets no new work, no response is truncated, and it can return to
+// service.
+func TestDrainedHostGetsNoNewWork(t *testing.T) {
 	f := newFleet(t, 3, 2)
-	config := f.loadOn("entry-1", "entry-2", "entry-3")
+	config := f.loadConfig("entry-1", "entry-2", "entry-3")
 	config.Rate, config.RunTime = 100, 50*time.Millisecond
-	stop := f.background(config)
+	stop := f.startLoad(config)
 	f.eventually("the host has work", func() bool { return f.endpoints[0].Stats().Total.Started > 20 })
 	if _, err := f.operators.DrainHost(context.Background(), "host-orders-1", api.DrainRequest{Purpose: "maintenance"}); err != nil {
 		t.Fatal(err)
 	}
-	asked := time.Now()
+	requested := time.Now()
 	f.eventually("the host is drained", func() bool { return f.hostPhase("host-orders-1") == "drained" })
-	t.Logf("drained after %s", time.Since(asked).Round(time.Millisecond))
+	t.Logf("drained after %s", time.Since(requested).Round(time.Millisecond))
 	before := f.endpoints[0].Stats().Total
 	time.Sleep(500 * time.Millisecond)
 	after := f.endpoints[0].Stats().Total
@@ -275,12 +282,12 @@
 		t.Fatal(err)
 	}
 	f.eventually("the host has work again", func() bool { return f.endpoints[0].Stats().Total.Started > after.Started })
-	f.checkWhole(stop())
+	f.checkResponses(stop())
 }
 
-// A host moves while an entry is paused: it stays where it is until the entry
-// has confirmed, or is proven gone and its longest run is over.
-func TestHostMovesOnlyOnceEveryEntryConfirmed(t *testing.T) {
+// A host is moved while an entry is paused: it keeps its pool until the entry has
+// confirmed the drain, or is proven gone and its longest run is over.
+func TestHostMoveWaitsForConfirmations(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.signal("entry-2", syscall.SIGSTOP)
 	request := api.DrainRequest{Purpose: "move", Target: "spare"}
@@ -298,21 +305,21 @@
 	})
 }
 
-// A wave maintains every host under load: nothing is cut, and never more hosts
-// are down than leave the needed ones after the loss of the largest rack.
+// A wave maintains every host under load: no response is truncated, and enough
+// hosts keep serving that the needed ones would be left if the largest rack failed.
 func TestWaveUnderLoad(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	for i := range 4 {
 		f.addEndpoint(fmt.Sprintf("orders-%d", i+3))
 	}
 	f.eventually("managers see six hosts", func() bool { return len(f.poolHosts("p")) == 6 })
-	config := f.loadOn("entry-1", "entry-2")
+	config := f.loadConfig("entry-1", "entry-2")
 	config.Rate = 100
-	stop := f.background(config)
+	stop := f.startLoad(config)
 	if _, err := f.operators.StartWave(context.Background(), api.WaveRequest{Pool: "p", Need: 3}); err != nil {
 		t.Fatal(err)
 	}
-	least := 6
+	minServing := 6
 	f.eventually("wave is finished", func() bool {
 		serving := 0
 		for _, host := range f.poolHosts("p") {
@@ -320,67 +327,67 @@
 				serving++
 			}
 		}
-		least = min(least, serving)
+		minServing = min(minServing, serving)
 		return f.waveVerdict("p") == "finished"
 	})
-	// Each host stands in a rack of its own here, so one is held in reserve.
-	if got, want := least, 4; got < want {
-		t.Errorf("least hosts serving: got %d, want %d", got, want)
+	// Each host has its own rack here, so one host is kept in reserve.
+	if got, want := minServing, 4; got < want {
+		t.Errorf("minimum number of serving hosts: got %d, want %d", got, want)
 	}
 	report := stop()
-	f.checkWhole(report)
+	f.checkResponses(report)
 	if got, want := report.OK, report.Sent; got != want {
 		t.Errorf("served during the wave: got %d (%v), want %d", got, report.Reasons, want)
 	}
 }
 
-// Hosts do not come back: the wave stops after two, and goes on at an
-// operator's word.
+// Hosts do not come back after their reboot: the wave stops after two of them.
 func TestWaveStopsWhenHostsFail(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	for i := range 4 {
 		f.addEndpoint(fmt.Sprintf("orders-%d", i+3))
 	}
 	f.eventually("managers see six hosts", func() bool { return len(f.poolHosts("p")) == 6 })
-	f.faults(`{"broken-reboots":["host-orders-1","host-orders-2","host-orders-3","host-orders-4","host-orders-5","host-orders-6"]}`)
+	f.injectFaults(`{"broken-reboots":["host-orders-1","host-orders-2","host-orders-3","host-orders-4","host-orders-5","host-orders-6"]}`)
 	if _, err := f.operators.StartWave(context.Background(), api.WaveRequest{Pool: "p", Need: 3}); err != nil {
 		t.Fatal(err)
 	}
 	f.eventually("wave is stopped", func() bool { return f.waveVerdict("p") == "stopped" })
-	if got, want := f.hostsDown("p"), 2; got != want {
+	if got, want := f.startedHosts("p"), 2; got != want {
 		t.Errorf("hosts taken down before the wave stopped: got %d, want %d", got, want)
 	}
 }
 
-// Charges are exactly the runs that took place, through cut answers, requests
-// given up on, an outage and lost answers; what is not proven is listed.
-func TestChargesAreRuns(t *testing.T) {
+// Every charge belongs to a run that took place, despite truncated responses,
+// exceeded deadlines, a table outage and lost responses of the table. Runs that
+// cannot be proved are listed instead.
+func TestChargesMatchRuns(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	good := f.loadOn("entry-1", "entry-2")
+	good := f.loadConfig("entry-1", "entry-2")
 	good.Rate = 80
-	stopGood := f.background(good)
-	cut := f.loadOn("entry-1", "entry-2")
+	stopGood := f.startLoad(good)
+	cut := f.loadConfig("entry-1", "entry-2")
 	cut.Behaviour, cut.Requests, cut.Marked, cut.Rate = "truncate", 40, true, 40
-	f.run(cut)
-	late := f.loadOn("entry-1", "entry-2")
+	f.runLoad(cut)
+	late := f.loadConfig("entry-1", "entry-2")
 	late.RunTime, late.Deadline, late.Requests, late.Marked, late.Rate = 400*time.Millisecond, 100*time.Millisecond, 20, true, 20
-	f.run(late)
-	f.faults(`{"down":true}`)
+	f.runLoad(late)
+	f.injectFaults(`{"down":true}`)
 	time.Sleep(2 * time.Second)
-	f.faults(`{"lose-answers":true}`)
+	f.injectFaults(`{"lose-answers":true}`)
 	time.Sleep(time.Second)
-	f.faults(`{}`)
-	f.checkWhole(stopGood())
+	f.injectFaults(`{}`)
+	f.checkResponses(stopGood())
 	f.eventually("every run is charged or listed", func() bool {
-		charged, unproven := f.rowsUnder("charge/"), f.rowsUnder("charge-unproven/")
-		for id := range f.runs() {
+		charged, unproven := f.listRunIDs("charge/"), f.listRunIDs("charge-unproven/")
+		for id := range f.completedRunIDs() {
 			if !charged[id] && !unproven[id] {
 				return false
 			}
 		}
 		return true
 	})
-	charged, unproven, runs := f.rowsUnder("charge/"), f.rowsUnder("charge-unproven/"), f.runs()
+	charged, unproven, runs := f.listRunIDs("charge/"), f.listRunIDs("charge-unproven/"), f.completedRunIDs()
 	for id := range charged {
 		if !runs[id] {
 			t.Errorf("charge %s: got no run, want one", id)
@@ -390,29 +397,29 @@
 		}
 	}
 	if len(unproven) == 0 {
-		t.Error("unproven runs: got 0, want those whose answers were cut")
+		t.Error("unproven runs: got 0, want those whose responses were truncated")
 	}
 	t.Logf("%d runs, %d charged, %d unproven", len(runs), len(charged), len(unproven))
 }
 
-// The manager that holds the queue's shard dies with tasks running; another
-// takes over, and each task runs once and is charged once.
-func TestTasksThroughAManagersDeath(t *testing.T) {
+// The manager that owns the queue's shard is killed while tasks run; another takes
+// over, and each task runs once and is charged once.
+func TestTasksSurviveManagerCrash(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	workers := []*worker.Server{f.addWorker("worker-1"), f.addWorker("worker-2")}
 	f.applyQueue()
 	const tasks = 20
 	for i := range tasks {
-		f.submit("entry-1", fmt.Sprint("plan-", i))
+		f.submitTask("entry-1", fmt.Sprint("plan-", i))
 	}
 	holder := f.shardHolder("tasks")
 	f.kill(holder)
-	f.unlistHost("host-" + holder)
+	f.deregisterHost("host-" + holder)
 	for i := range tasks {
-		// A repeat through another entry is the same task.
-		f.submit("entry-2", fmt.Sprint("plan-", i))
+		// A repeat under the same key through another entry returns the same task.
+		f.submitTask("entry-2", fmt.Sprint("plan-", i))
 	}
-	f.eventually("all tasks are charged", func() bool { return len(f.rowsUnder("charge/")) == tasks })
+	f.eventually("all tasks are charged", func() bool { return len(f.listRunIDs("charge/")) == tasks })
 	runs := make(map[string]int)
 	for _, server := range workers {
 		for task, n := range server.Stats().RunsPerTask {
@@ -429,17 +436,17 @@
 	}
 }
 
-// Requests and tasks of a team count towards the same upper limit.
-func TestLimitHoldsOverRequestsAndTasks(t *testing.T) {
+// Requests and tasks of a team share its upper limit.
+func TestLimitCoversRequestsAndTasks(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	workers := []*worker.Server{f.addWorker("worker-1"), f.addWorker("worker-2")}
 	f.applyQueue()
-	config := f.loadOn("entry-1", "entry-2")
+	config := f.loadConfig("entry-1", "entry-2")
 	config.RunTime = 200 * time.Millisecond
-	stop := f.background(config)
+	stop := f.startLoad(config)
 	const tasks = 30
 	for i := range tasks {
-		f.submit("entry-1", fmt.Sprint("plan-", i))
+		f.submitTask("entry-1", fmt.Sprint("plan-", i))
 	}
 	f.eventually("all tasks ran", func() bool { return len(f.taskRuns(workers)) == tasks })
 	stop()
@@ -449,7 +456,7 @@
 			intervals = append(intervals, interval{run.Start, run.End})
 		}
 	}
-	if got := overlap(intervals); got > teamLimit {
-		t.Errorf("greatest running: got %d, want at most %d", got, teamLimit)
+	if got := maxOverlap(intervals); got > teamLimit {
+		t.Errorf("maximum concurrent runs: got %d, want at most %d", got, teamLimit)
 	}
 }
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -1,4 +1,4 @@
-// Package test runs the real binaries on loopback and hurts them.
+// Package test runs the real binaries on loopback and injects faults.
 package test
 
 import (
@@ -31,11 +31,11 @@
 )
 
 const (
-	secret     = "0123456789abcdef0123456789abcdef0123456789abcdef"
-	patience   = 30 * time.Second
-	listLag    = 500 * time.Millisecond
-	longestRun = 3 * time.Second
-	teamLimit  = 12
+	secret           = "0123456789abcdef0123456789abcdef0123456789abcdef"
+	conditionTimeout = 30 * time.Second
+	listLag          = 500 * time.Millisecond
+	longestRun       = 3 * time.Second
+	teamLimit        = 12
 
 	firstPort    = 15000
 	lastPort     = 32000
@@ -61,8 +61,9 @@
 	os.Exit(code)
 }
 
-// fleet is a platform, endpoints, and processes of the real binary.
-type fleet struct {
+// testFleet is a stand-in platform with endpoints, and entries and managers that
+// run the real binary.
+type testFleet struct {
 	t         *testing.T
 	dir       string
 	platform  *httptest.Server
@@ -70,7 +71,7 @@
 	processes map[string]*process
 	operators *client.Client
 	key       string
-	// flags are added to those of every process.
+	// flags are passed to every process in addition to its own.
 	flags []string
 }
 
@@ -81,19 +82,19 @@
 	command *exec.Cmd
 	log     *bytes.Buffer
 	ended   chan error
-	// Addresses by port.
+	// Listening addresses.
 	callers, peers, operations, operators netip.AddrPort
 }
 
-// newFleet starts the platform, two endpoints of service "orders", and as many
-// entries and managers as asked for. Team "tackle" has the limit teamLimit.
-// Options return flags for every process.
-func newFleet(t *testing.T, entries, managers int, options ...func(*fleet) []string) *fleet {
+// newFleet starts the platform, two endpoints of service "orders" and the given
+// number of entries and managers. Team "tackle" has the upper limit teamLimit.
+// Each option returns flags for every process.
+func newFleet(t *testing.T, entries, managers int, options ...func(*testFleet) []string) *testFleet {
 	t.Helper()
-	f := &fleet{t: t, dir: t.TempDir(), processes: make(map[string]*process)}
+	f := &testFleet{t: t, dir: t.TempDir(), processes: make(map[string]*process)}
 	f.platform = httptest.NewServer(platform.New(platform.Config{ListLag: listLag}).Handler())
 	t.Cleanup(f.platform.Close)
-	f.write("secret", secret)
+	f.writeFile("secret", secret)
 	for _, option := range options {
 		f.flags = append(f.flags, option(f)...)
 	}
@@ -101,61 +102,63 @@
 		f.addEndpoint(fmt.Sprintf("orders-%d", i+1))
 	}
 	for i := range entries {
-		f.listHost(fmt.Sprintf("host-entry-%d", i+1), "entry", "")
+		f.registerHost(fmt.Sprintf("host-entry-%d", i+1), "entry", "")
 		f.start("entry", i+1)
 	}
 	var addresses []netip.AddrPort
 	for i := range managers {
-		f.listHost(fmt.Sprintf("host-manager-%d", i+1), "entry", "")
+		f.registerHost(fmt.Sprintf("host-manager-%d", i+1), "entry", "")
 		addresses = append(addresses, f.start("manager", i+1).operators)
 	}
 	f.operators = client.New(client.Config{Managers: addresses, Key: secret})
 	t.Cleanup(f.stopAll)
-	f.ready()
+	f.awaitReady()
 	f.configure()
 	return f
 }
 
-// addEndpoint serves an endpoint of service "orders" on a host of its own.
-func (f *fleet) addEndpoint(name string) {
+// addEndpoint starts an endpoint of service "orders" on its own host.
+func (f *testFleet) addEndpoint(name string) {
 	server := endpoint.New(endpoint.Config{Name: name, Service: "orders", RunTime: 2 * time.Millisecond})
-	port := httptest.NewServer(server.Handler())
-	f.t.Cleanup(port.Close)
+	httpServer := httptest.NewServer(server.Handler())
+	f.t.Cleanup(httpServer.Close)
 	f.endpoints = append(f.endpoints, server)
-	f.listHost("host-"+name, "p", fmt.Sprintf(`{"service":"orders","address":%q,"slots":8,"connections":64}`,
-		strings.TrimPrefix(port.URL, "http://")))
+	f.registerHost("host-"+name, "p", fmt.Sprintf(`{"service":"orders","address":%q,"slots":8,"connections":64}`,
+		strings.TrimPrefix(httpServer.URL, "http://")))
 }
 
-// listHost puts a live host into the platform's list.
-func (f *fleet) listHost(name, pool, endpoints string) {
-	f.put("/hosts/"+name, fmt.Sprintf(`{"data-centre":"dc-1","rack":%q,"pool":%q,"state":"live","endpoints":[%s]}`, name, pool, endpoints))
+// registerHost adds a live host to the platform's host list.
+func (f *testFleet) registerHost(name, pool, endpoints string) {
+	f.putPlatform("/hosts/"+name, fmt.Sprintf(`{"data-centre":"dc-1","rack":%q,"pool":%q,"state":"live","endpoints":[%s]}`, name, pool, endpoints))
 }
 
-// unlistHost takes a host out of the platform's list.
-func (f *fleet) unlistHost(name string) { f.call(http.MethodDelete, "/hosts/"+name, "") }
+// deregisterHost removes a host from the platform's host list.
+func (f *testFleet) deregisterHost(name string) {
+	f.callPlatform(http.MethodDelete, "/hosts/"+name, "")
+}
 
-// faults sets the platform's faults.
-func (f *fleet) faults(json string) { f.put("/faults", json) }
+// injectFaults replaces the set of faults of the platform.
+func (f *testFleet) injectFaults(json string) { f.putPlatform("/faults", json) }
 
-func (f *fleet) put(path, body string) { f.call(http.MethodPut, path, body) }
+func (f *testFleet) putPlatform(path, body string) { f.callPlatform(http.MethodPut, path, body) }
 
-func (f *fleet) call(method, path, body string) {
+func (f *testFleet) callPlatform(method, path, body string) {
 	f.t.Helper()
 	request, err := http.NewRequest(method, f.platform.URL+path, strings.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	_ = answer.Body.Close()
-	if answer.StatusCode >= http.StatusBadRequest {
-		f.t.Fatalf("%s %s: got %s, want success", method, path, answer.Status)
+	_ = response.Body.Close()
+	if response.StatusCode >= http.StatusBadRequest {
+		f.t.Fatalf("%s %s: got %s, want success", method, path, response.Status)
 	}
 }
 
-func (f *fleet) write(name, text string) string {
+func (f *testFleet) writeFile(name, text string) string {
 	file := filepath.Join(f.dir, name)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
@@ -163,17 +166,17 @@
 	return file
 }
 
-// givenPorts are those that have been given out: nothing listens there until the
-// process that got one has started.
-var givenPorts sync.Map
+// allocatedPorts holds the ports that freeAddress has returned. Nothing may be
+// listening on them yet, because their processes start later.
+var allocatedPorts sync.Map
 
 // freeAddress returns a loopback address that nothing listens on. Its port is
-// below those that the system gives to outgoing connections, one of which could
-// take it before the process listens.
-func (f *fleet) freeAddress() netip.AddrPort {
+// below the ephemeral range: otherwise an outgoing connection could take it
+// before the process listens.
+func (f *testFleet) freeAddress() netip.AddrPort {
 	for range maxPortTries {
 		port := firstPort + rand.IntN(lastPort-firstPort)
-		if _, isGiven := givenPorts.LoadOrStore(port, true); isGiven {
+		if _, isAllocated := allocatedPorts.LoadOrStore(port, true); isAllocated {
 			continue
 		}
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
@@ -186,8 +189,8 @@
 	return netip.AddrPort{}
 }
 
-// start runs a process of the role; a second one of a name takes over its addresses.
-func (f *fleet) start(role string, index int) *process {
+// start runs a process of the role. A restarted process keeps its addresses.
+func (f *testFleet) start(role string, index int) *process {
 	f.t.Helper()
 	name := fmt.Sprintf("%s-%d", role, index)
 	p := &process{name: name, host: "host-" + name, log: &bytes.Buffer{}, ended: make(chan error, 1)}
@@ -220,21 +223,21 @@
 }
 
 // signal sends a signal to a process.
-func (f *fleet) signal(name string, sig syscall.Signal) {
+func (f *testFleet) signal(name string, sig syscall.Signal) {
 	f.t.Helper()
 	if err := f.processes[name].command.Process.Signal(sig); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// kill ends a process at once, with what runs under it.
-func (f *fleet) kill(name string) {
+// kill ends a process with SIGKILL and waits for its exit.
+func (f *testFleet) kill(name string) {
 	f.signal(name, syscall.SIGKILL)
 	<-f.processes[name].ended
 }
 
-// stop ends a process gracefully; it must exit with 0.
-func (f *fleet) stop(name string) {
+// stop ends a process with SIGTERM and expects exit code 0.
+func (f *testFleet) stop(name string) {
 	f.t.Helper()
 	f.signal(name, syscall.SIGTERM)
 	p := f.processes[name]
@@ -243,8 +246,9 @@
 	}
 }
 
-// stopAll ends what still runs, and shows the logs of a failed test.
-func (f *fleet) stopAll() {
+// stopAll kills the remaining processes. It prints the logs of a failed test, and
+// fails the test if a log contains a data race.
+func (f *testFleet) stopAll() {
 	for _, p := range f.processes {
 		if p.command.ProcessState == nil {
 			_ = p.command.Process.Signal(syscall.SIGCONT)
@@ -258,37 +262,38 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// eventually waits for a condition, with patience for a busy machine.
-func (f *fleet) eventually(what string, condition func() bool) {
+// eventually waits for a condition and fails the test after conditionTimeout.
+func (f *testFleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(conditionTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	f.t.Fatalf("%s: got no in %s, want yes", what, patience)
+	f.t.Fatalf("%s: still false after %s", what, conditionTimeout)
 }
 
-// ready waits until all processes are.
-func (f *fleet) ready() {
+// awaitReady waits until all processes are ready.
+func (f *testFleet) awaitReady() {
 	f.t.Helper()
 	for _, p := range f.processes {
 		f.eventually(p.name+" is ready", func() bool {
-			answer, err := http.Get("http://" + p.operations.String() + "/readyz")
+			response, err := http.Get("http://" + p.operations.String() + "/readyz")
 			if err != nil {
 				return false
 			}
-			_ = answer.Body.Close()
-			return answer.StatusCode == http.StatusOK
+			_ = response.Body.Close()
+			return response.StatusCode == http.StatusOK
 		})
 	}
 }
 
-// configure applies a catalogue and gives team "tackle" a key.
-func (f *fleet) configure() {
+// configure applies a catalogue, issues a key to team "tackle" and waits until
+// every entry holds permits.
+func (f *testFleet) configure() {
 	f.t.Helper()
-	f.apply(teamLimit)
-	f.key = f.giveKey()
+	f.applyLimit(teamLimit)
+	f.key = f.issueKey()
 	for name := range f.processes {
 		if strings.HasPrefix(name, "entry") {
 			f.eventually(name+" holds permits", func() bool { return f.permits(name).Holding > 0 })
@@ -296,31 +301,31 @@
 	}
 }
 
-// apply declares the catalogue with that upper limit.
-func (f *fleet) apply(limit int) {
+// applyLimit applies the catalogue with the given upper limit.
+func (f *testFleet) applyLimit(limit int) {
 	f.t.Helper()
-	f.declare(catalogueOf(limit))
+	f.applyCatalogue(newCatalogue(limit))
 }
 
 // applyQueue adds queue "plans", whose pool is "tasks", to the catalogue.
-func (f *fleet) applyQueue() {
+func (f *testFleet) applyQueue() {
 	f.t.Helper()
-	catalogue := catalogueOf(teamLimit)
+	catalogue := newCatalogue(teamLimit)
 	catalogue.Entries = append(catalogue.Entries, api.Entry{
 		Name: "plans", Kind: "queue", Team: "tackle", Class: "batch", MaxBody: 1 << 16,
 		Deadline: api.Duration(5 * time.Second), LongestRun: api.Duration(longestRun),
 		Availability: 0.99, Pool: "tasks",
 	})
-	f.declare(catalogue)
+	f.applyCatalogue(catalogue)
 }
 
-// shardHolder returns the manager that manages a pool's tasks.
-func (f *fleet) shardHolder(pool string) string {
+// shardHolder returns the name of the manager that owns the shard of a pool.
+func (f *testFleet) shardHolder(pool string) string {
 	f.t.Helper()
 	var holder string
 	f.eventually("shard "+pool+" has a holder", func() bool {
 		for name, p := range f.processes {
-			if strings.HasPrefix(name, "manager") && f.holds(p, pool) {
+			if strings.HasPrefix(name, "manager") && f.isShardHolder(p, pool) {
 				holder = name
 				return true
 			}
@@ -330,23 +335,24 @@
 	return holder
 }
 
-// holds reports whether a manager's dump shows the shard as its own.
-func (f *fleet) holds(p *process, pool string) bool {
+// isShardHolder reports whether a manager's dump lists the shard as its own.
+func (f *testFleet) isShardHolder(p *process, pool string) bool {
 	var dump struct {
 		Shards map[string]struct {
 			Epoch uint64 `json:"epoch"`
 		} `json:"shards"`
 	}
-	answer, err := http.Get("http://" + p.operations.String() + "/dump")
+	response, err := http.Get("http://" + p.operations.String() + "/dump")
 	if err != nil {
 		return false
 	}
-	defer func() { _ = answer.Body.Close() }()
-	return json.NewDecoder(answer.Body).Decode(&dump) == nil && dump.Shards[pool].Epoch > 0
+	defer func() { _ = response.Body.Close() }()
+	return json.NewDecoder(response.Body).Decode(&dump) == nil && dump.Shards[pool].Epoch > 0
 }
 
-// catalogueOf returns the catalogue of team "tackle" with an upper limit.
-func catalogueOf(limit int) api.Catalogue {
+// newCatalogue returns a catalogue with service "orders" and team "tackle", which
+// has the given upper limit.
+func newCatalogue(limit int) api.Catalogue {
 	return api.Catalogue{
 		Teams: []api.Team{{Name: "tackle", UpperLimit: limit, Share: 1}},
 		Entries: []api.Entry{{
@@ -357,32 +363,32 @@
 	}
 }
 
-// declare applies a catalogue and waits until it is in force everywhere.
-func (f *fleet) declare(catalogue api.Catalogue) {
+// applyCatalogue applies a catalogue and waits until it is in force everywhere.
+func (f *testFleet) applyCatalogue(catalogue api.Catalogue) {
 	f.t.Helper()
 	f.eventually("catalogue is accepted", func() bool {
-		answer, err := f.operators.Apply(context.Background(), api.ApplyRequest{Catalogue: catalogue})
-		return err == nil && f.inForce(answer.Revision)
+		response, err := f.operators.Apply(context.Background(), api.ApplyRequest{Catalogue: catalogue})
+		return err == nil && f.inForce(response.Revision)
 	})
 }
 
-func (f *fleet) giveKey() string {
+func (f *testFleet) issueKey() string {
 	f.t.Helper()
 	var key string
-	f.eventually("key is given", func() bool {
-		given, answer, err := f.operators.IssueKey(context.Background(), "tackle")
-		key = given
-		return err == nil && f.inForce(answer.Revision)
+	f.eventually("key is issued", func() bool {
+		issued, response, err := f.operators.IssueKey(context.Background(), "tackle")
+		key = issued
+		return err == nil && f.inForce(response.Revision)
 	})
 	return key
 }
 
-func (f *fleet) inForce(revision uint64) bool {
-	where, err := f.operators.Revision(context.Background(), revision, 5*time.Second)
-	return err == nil && where.InForce
+func (f *testFleet) inForce(revision uint64) bool {
+	status, err := f.operators.Revision(context.Background(), revision, 5*time.Second)
+	return err == nil && status.InForce
 }
 
-// permitState is a team's part of an entry's dump.
+// permitState is the permits of a team in an entry's dump.
 type permitState struct {
 	Team    string `json:"team"`
 	Holding int    `json:"holding"`
@@ -390,7 +396,7 @@
 }
 
 // permits returns the permits of team "tackle" at an entry.
-func (f *fleet) permits(name string) permitState {
+func (f *testFleet) permits(name string) permitState {
 	var dump struct {
 		Node struct {
 			Permits struct {
@@ -398,19 +404,19 @@
 			} `json:"permits"`
 		} `json:"node"`
 	}
-	answer, err := http.Get("http://" + f.processes[name].operations.String() + "/dump")
+	response, err := http.Get("http://" + f.processes[name].operations.String() + "/dump")
 	if err != nil {
 		return permitState{}
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if json.NewDecoder(answer.Body).Decode(&dump) != nil || len(dump.Node.Permits.Teams) == 0 {
+	defer func() { _ = response.Body.Close() }()
+	if json.NewDecoder(response.Body).Decode(&dump) != nil || len(dump.Node.Permits.Teams) == 0 {
 		return permitState{}
 	}
 	return dump.Node.Permits.Teams[0]
 }
 
-// held returns the permits that the named entries hold together.
-func (f *fleet) held(names ...string) int {
+// heldPermits returns the total number of permits that the named processes hold.
+func (f *testFleet) heldPermits(names ...string) int {
 	sum := 0
 	for _, name := range names {
 		sum += f.permits(name).Holding
@@ -418,8 +424,9 @@
 	return sum
 }
 
-// loadOn returns a load over the named entries, balanced by their readiness.
-func (f *fleet) loadOn(names ...string) load.Config {
+// loadConfig returns a load on the named entries that skips those that are not
+// ready.
+func (f *testFleet) loadConfig(names ...string) load.Config {
 	config := load.Config{Service: "orders", Key: f.key, Deadline: 2 * time.Second, Concurrency: 24}
 	for _, name := range names {
 		config.Targets = append(config.Targets, f.processes[name].callers)
@@ -428,8 +435,8 @@
 	return config
 }
 
-// run runs a load to its end.
-func (f *fleet) run(config load.Config) load.Report {
+// runLoad runs a load to its end.
+func (f *testFleet) runLoad(config load.Config) load.Report {
 	f.t.Helper()
 	report, err := load.Run(context.Background(), config)
 	if err != nil {
@@ -438,8 +445,9 @@
 	return report
 }
 
-// background runs a load until stop is called, which returns its report.
-func (f *fleet) background(config load.Config) (stop func() load.Report) {
+// startLoad runs a load in the background until stop is called, which returns its
+// report.
+func (f *testFleet) startLoad(config load.Config) (stop func() load.Report) {
 	ctx, cancel := context.WithCancel(context.Background())
 	reports := make(chan load.Report, 1)
 	config.Duration = time.Hour
@@ -456,19 +464,20 @@
 	}
 }
 
-// greatestRunning returns the most runs that were at the endpoints at one time.
-func (f *fleet) greatestRunning() int {
+// maxConcurrentRuns returns the maximum number of concurrent runs at the
+// endpoints.
+func (f *testFleet) maxConcurrentRuns() int {
 	var intervals []interval
 	for _, server := range f.endpoints {
 		for _, run := range server.Stats().Runs {
 			intervals = append(intervals, interval{run.Start, run.End})
 		}
 	}
-	return overlap(intervals)
+	return maxOverlap(intervals)
 }
 
-// runsPerKey returns how often each idempotency key ran.
-func (f *fleet) runsPerKey() map[string]int {
+// runsPerKey returns the number of runs per idempotency key.
+func (f *testFleet) runsPerKey() map[string]int {
 	runs := make(map[string]int)
 	for _, server := range f.endpoints {
 		for _, key := range server.Stats().KeyRuns {
@@ -478,12 +487,12 @@
 	return runs
 }
 
-// interval is the time of one run.
+// interval is the start and end time of a run.
 type interval struct{ start, end time.Time }
 
-// overlap returns the largest number of intervals at one time.
-func overlap(intervals []interval) int {
-	greatest := 0
+// maxOverlap returns the largest number of intervals that overlap at one time.
+func maxOverlap(intervals []interval) int {
+	result := 0
 	for _, at := range intervals {
 		running := 0
 		for _, other := range intervals {
@@ -491,13 +500,13 @@
 				running++
 			}
 		}
-		greatest = max(greatest, running)
+		result = max(result, running)
 	}
-	return greatest
+	return result
 }
 
-// host returns a host as the managers know it.
-func (f *fleet) host(name string) api.Host {
+// host returns a host as a manager reports it, or the zero value if unknown.
+func (f *testFleet) host(name string) api.Host {
 	hosts, err := f.operators.Hosts(context.Background())
 	if err != nil {
 		return api.Host{}
@@ -510,11 +519,11 @@
 	return api.Host{}
 }
 
-// hostPhase returns where a host's assignment stands.
-func (f *fleet) hostPhase(name string) string { return f.host(name).Phase }
+// hostPhase returns the phase of a host's assignment.
+func (f *testFleet) hostPhase(name string) string { return f.host(name).Phase }
 
 // poolHosts returns the hosts of a pool that serve endpoints.
-func (f *fleet) poolHosts(pool string) []api.Host {
+func (f *testFleet) poolHosts(pool string) []api.Host {
 	hosts, err := f.operators.Hosts(context.Background())
 	if err != nil {
 		return nil
@@ -528,8 +537,8 @@
 	return serving
 }
 
-// waveVerdict returns how the wave of a pool stands.
-func (f *fleet) waveVerdict(pool string) string {
+// waveVerdict returns the verdict of a pool's wave.
+func (f *testFleet) waveVerdict(pool string) string {
 	waves, err := f.operators.Waves(context.Background())
 	if err != nil {
 		return ""
@@ -542,8 +551,9 @@
 	return ""
 }
 
-// hostsDown returns how many hosts the wave of a pool has begun with.
-func (f *fleet) hostsDown(pool string) int {
+// startedHosts returns the number of hosts that a pool's wave has taken down so
+// far, or -1 if there is no such wave.
+func (f *testFleet) startedHosts(pool string) int {
 	waves, err := f.operators.Waves(context.Background())
 	if err != nil || len(waves) != 1 || waves[0].Pool != pool {
 		return -1
@@ -551,8 +561,8 @@
 	return len(waves[0].Hosts)
 }
 
-// rowsUnder returns the run ids of the table's rows with a prefix.
-func (f *fleet) rowsUnder(prefix string) map[string]bool {
+// listRunIDs returns the run ids of the table's rows whose keys have the prefix.
+func (f *testFleet) listRunIDs(prefix string) map[string]bool {
 	f.t.Helper()
 	store := platformclient.New(platformclient.Config{
 		Address: netip.MustParseAddrPort(strings.TrimPrefix(f.platform.URL, "http://")), Process: "test",
@@ -569,8 +579,8 @@
 	return ids
 }
 
-// runs returns the ids of the runs that the endpoints completed.
-func (f *fleet) runs() map[string]bool {
+// completedRunIDs returns the ids of the runs that the endpoints completed.
+func (f *testFleet) completedRunIDs() map[string]bool {
 	ids := make(map[string]bool)
 	for _, server := range f.endpoints {
 		for _, run := range server.Stats().Runs {
@@ -580,28 +590,29 @@
 	return ids
 }
 
-// addWorker serves a worker on a host of its own in pool "tasks".
-func (f *fleet) addWorker(name string) *worker.Server {
+// addWorker starts a worker on its own host in pool "tasks".
+func (f *testFleet) addWorker(name string) *worker.Server {
 	server := worker.New(worker.Config{Name: name, Incarnation: "1", UsageLag: 100 * time.Millisecond})
-	port := httptest.NewServer(server.Handler())
-	f.t.Cleanup(port.Close)
-	f.listHost(name, "tasks", fmt.Sprintf(`{"service":"worker","address":%q,"slots":16,"connections":64}`,
-		strings.TrimPrefix(port.URL, "http://")))
+	httpServer := httptest.NewServer(server.Handler())
+	f.t.Cleanup(httpServer.Close)
+	f.registerHost(name, "tasks", fmt.Sprintf(`{"service":"worker","address":%q,"slots":16,"connections":64}`,
+		strings.TrimPrefix(httpServer.URL, "http://")))
 	return server
 }
 
-// submit hands a task to queue "plans" through an entry, under a key, until it
-// is taken.
-func (f *fleet) submit(entry, key string) {
+// submitTask submits a task to queue "plans" through an entry, with an
+// idempotency key, until it is accepted.
+func (f *testFleet) submitTask(entry, key string) {
 	f.t.Helper()
-	f.eventually("task "+key+" is taken", func() bool {
-		status, _ := f.ask(entry, http.MethodPost, "/plans/tasks", key, `{"cpus":1,"memory":1048576,"run-time":"500ms"}`)
+	f.eventually("task "+key+" is accepted", func() bool {
+		status, _ := f.sendRequest(entry, http.MethodPost, "/plans/tasks", key, `{"cpus":1,"memory":1048576,"run-time":"500ms"}`)
 		return status == http.StatusAccepted || status == http.StatusOK
 	})
 }
 
-// ask sends one request through an entry.
-func (f *fleet) ask(entry, method, path, key, body string) (status int, answer string) {
+// sendRequest sends one request through an entry. The status is 0 if there was no
+// response.
+func (f *testFleet) sendRequest(entry, method, path, key, body string) (status int, responseBody string) {
 	f.t.Helper()
 	request, err := http.NewRequest(method, "http://"+f.processes[entry].callers.String()+path, strings.NewReader(body))
 	if err != nil {
@@ -621,7 +632,7 @@
 }
 
 // taskRuns returns the runs of tasks that the workers completed.
-func (f *fleet) taskRuns(workers []*worker.Server) []interval {
+func (f *testFleet) taskRuns(workers []*worker.Server) []interval {
 	var runs []interval
 	for _, server := range workers {
 		for _, run := range server.Stats().Runs {
--- a/test/fuzz.sh
+++ b/test/fuzz.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs every fuzz target for FUZZTIME and the property tests with CHECKS checks
-# under a random seed. Exits with 1 when anything was found.
+# Runs every fuzz target for FUZZTIME, and the property tests with CHECKS checks
+# and a random seed (or SEED). Exits with 1 if any of them fails.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -16,7 +16,7 @@
 	skip=(-skip "$known_red")
 fi
 
-# fuzz_targets prints "<package> <target>" for each native fuzz target.
+# fuzz_targets prints "<package> <target>" for every native Go fuzz target.
 fuzz_targets() {
 	git grep -o -E '^func Fuzz[A-Za-z0-9_]+\(f \*testing\.F\)' -- '*_test.go' |
 		sed -E 's|^(.*)/[^/]+:func (Fuzz[A-Za-z0-9_]+).*|./\1 \2|' | sort -u
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -12,32 +12,32 @@
 	"github.com/lovagedyke/lovagedyke/internal/soak"
 )
 
-// The flags of a soak by hand: make soak.
+// Flags of TestSoakByHand, which "make soak" runs.
 var (
 	soakSeed      = flag.Uint64("soak-seed", 1, "first seed of TestSoakByHand")
 	soakSeeds     = flag.Uint64("soak-seeds", 0, "number of seeds, 0 for none")
-	soakFor       = flag.Duration("soak-for", 15*time.Second, "how long harm is done, each seed")
+	soakLength    = flag.Duration("soak-for", 15*time.Second, "how long faults are injected per seed")
 	soakNodes     = flag.Int("soak-nodes", 3, "number of nodes")
 	soakEndpoints = flag.Int("soak-endpoints", 6, "number of endpoints")
 	soakPort      = flag.Uint("soak-port", 14700, "first of the nodes' ports, below those of other tests")
-	soakDir       = flag.String("soak-dir", os.TempDir(), "folder for the logs of seeds that broke a promise")
+	soakDir       = flag.String("soak-dir", os.TempDir(), "folder for the logs of seeds that failed")
 )
 
-// TestSoak plays seeds that have failed before, for a short time each.
+// TestSoak runs seeds that have failed before, for a short time each.
 func TestSoak(t *testing.T) {
 	seeds := map[string]uint64{
-		// An endpoint crashed between the report of its ends and their acknowledgement:
-		// the check counted its work as not done.
-		"endpoint crashes with ends that were read": 31,
+		// An endpoint crashed after it had reported completions and before they were
+		// acknowledged: the check counted that work as not done.
+		"endpoint crashes with unacknowledged completions": 31,
 	}
 	for name, seed := range seeds {
 		t.Run(name, func(t *testing.T) {
-			playSeed(t, soak.Config{Seed: seed, Length: 8 * time.Second, Nodes: 3, Endpoints: 6, Dir: t.TempDir()})
+			runSeed(t, soak.Config{Seed: seed, Length: 8 * time.Second, Nodes: 3, Endpoints: 6, Dir: t.TempDir()})
 		})
 	}
 }
 
-// TestSoakByHand plays as many seeds as the flags ask for.
+// TestSoakByHand runs the seeds that the flags select.
 func TestSoakByHand(t *testing.T) {
 	for seed := *soakSeed; seed < *soakSeed+*soakSeeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -45,7 +45,7 @@
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			playSeed(t, soak.Config{Seed: seed, Length: *soakFor, Nodes: *soakNodes, Endpoints: *soakEndpoints, Dir: dir})
+			runSeed(t, soak.Config{Seed: seed, Length: *soakLength, Nodes: *soakNodes, Endpoints: *soakEndpoints, Dir: dir})
 			if t.Failed() {
 				t.Logf("logs: %s", dir)
 				return
@@ -57,8 +57,8 @@
 	}
 }
 
-// playSeed plays a soak with the binary under test, and reports what it broke.
-func playSeed(t *testing.T, config soak.Config) {
+// runSeed runs a soak with the binary under test and reports every violation.
+func runSeed(t *testing.T, config soak.Config) {
 	t.Helper()
 	config.FirstPort = uint16(*soakPort)
 	config.NewProcess = func(settings, log string) soak.Process {
@@ -68,11 +68,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d harms, %d jobs accepted, %d refused, %d unsure, %d runs", report.Harms, report.Accepted, report.Refused, report.Unsure, report.Ran)
+	t.Logf("%d faults, %d jobs accepted, %d refused, %d with unknown outcome, %d runs", report.Harms, report.Accepted, report.Refused, report.Unsure, report.Ran)
 	for _, violation := range report.Violations {
 		t.Error(violation)
 	}
 	if report.Accepted == 0 || report.Harms == 0 {
-		t.Errorf("soak: got %d jobs accepted and %d harms, want some of both", report.Accepted, report.Harms)
+		t.Errorf("soak: got %d jobs accepted and %d faults, want some of both", report.Accepted, report.Harms)
 	}
 }
--- a/test/soakprocess_test.go
+++ b/test/soakprocess_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// restartAfter is how long a process is away after it has ended.
-const restartAfter = 700 * time.Millisecond
+// restartDelay is the time between the end of a process and its restart.
+const restartDelay = 700 * time.Millisecond
 
-// soakProcess keeps a node running: it is started again whenever it ends.
+// soakProcess runs a node and restarts it whenever it ends.
 type soakProcess struct {
 	binary, settings, log string
 
@@ -28,12 +28,12 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(restartAfter):
+		case <-time.After(restartDelay):
 		}
 	}
 }
 
-// runOnce starts the node and waits for its end, whatever it is.
+// runOnce starts the node and waits for its end. A failed exit is not an error.
 func (p *soakProcess) runOnce(ctx context.Context) error {
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { p.Signal(syscall.SIGKILL) })
 	defer stop()
-	// How it ended is in its log; that it ended is part of the plan.
+	// Nodes are killed on purpose; the reason for an unexpected exit is in the log.
 	_ = command.Wait()
 	return nil
 }
@@ -62,7 +62,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil && p.command.Process != nil {
-		// A process that has ended meanwhile takes no signal.
+		// Signal fails if the process has ended already, which is fine.
 		_ = p.command.Process.Signal(signal)
 	}
 }
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -19,9 +19,9 @@
 	"github.com/lovagedyke/lovagedyke/internal/peer/peerpb"
 )
 
-// certificate makes a key and a certificate for loopback, signed by the parent
-// or by itself.
-func certificate(t *testing.T, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
+// newCertificate creates a key and a certificate for loopback, signed by the
+// parent or self-signed.
+func newCertificate(t *testing.T, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -48,16 +48,17 @@
 	return signed, key
 }
 
-// writePEM writes a block of PEM to a file of the fleet and returns its name.
-func (f *fleet) writePEM(name, kind string, der []byte) string {
-	return f.write(name, string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})))
+// writePEM writes a PEM block to a file in the fleet's folder and returns its path.
+func (f *testFleet) writePEM(name, kind string, der []byte) string {
+	return f.writeFile(name, string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})))
 }
 
-// certify gives the fleet's peer ports certificates; it returns the flags.
-func (f *fleet) certify() []string {
+// issueCertificates writes an authority and a host certificate for the peer ports
+// and returns the flags that name them.
+func (f *testFleet) issueCertificates() []string {
 	f.t.Helper()
-	authority, authorityKey := certificate(f.t, nil, nil)
-	host, hostKey := certificate(f.t, authority, authorityKey)
+	authority, authorityKey := newCertificate(f.t, nil, nil)
+	host, hostKey := newCertificate(f.t, authority, authorityKey)
 	keyDER, err := x509.MarshalECPrivateKey(hostKey)
 	if err != nil {
 		f.t.Fatal(err)
@@ -69,18 +70,18 @@
 	}
 }
 
-// The peer port takes only processes with a certificate of the deployment's
-// authority, whatever secret a stranger presents.
+// The peer port accepts only clients with a certificate of the deployment's
+// authority, even if they present the right secret.
 func TestPeersOverTLS(t *testing.T) {
-	f := newFleet(t, 2, 1, (*fleet).certify)
-	config := f.loadOn("entry-1", "entry-2")
+	f := newFleet(t, 2, 1, (*testFleet).issueCertificates)
+	config := f.loadConfig("entry-1", "entry-2")
 	config.Marked, config.Requests = true, 50
-	report := f.run(config)
-	f.checkWhole(report)
+	report := f.runLoad(config)
+	f.checkResponses(report)
 	if got, want := report.OK, 50; got != want {
 		t.Errorf("served: got %d (%v), want %d", got, report.Reasons, want)
 	}
-	stranger, strangerKey := certificate(t, nil, nil)
+	stranger, strangerKey := newCertificate(t, nil, nil)
 	tests := map[string]*tls.Config{
 		"no TLS": nil,
 		"no certificate": {
