--- a/model/claim-broken-ack.pml
+++ b/model/claim-broken-ack.pml
@@ -1,3 +1,3 @@
-/* Taken out: a holder flushes before it acknowledges a roster version. */
+/* Disabled rule: a replica flushes before it acknowledges a roster version. */
 #define BROKEN_ACK
 #include "claim.pml"
--- a/model/claim-broken-cutoff.pml
+++ b/model/claim-broken-cutoff.pml
@@ -1,3 +1,3 @@
-/* Taken out: a home that is only cut off keeps its ids waiting. */
+/* Disabled rule: ids wait while their primary is partitioned but not proven gone. */
 #define BROKEN_CUTOFF
 #include "claim.pml"
--- a/model/claim-broken-order.pml
+++ b/model/claim-broken-order.pml
@@ -1,3 +1,3 @@
-/* Taken out: the claim comes before the dispatch. */
+/* Disabled rule: a request is claimed before it is dispatched. */
 #define BROKEN_ORDER
 #include "claim.pml"
--- a/model/claim-broken-restart.pml
+++ b/model/claim-broken-restart.pml
@@ -1,3 +1,3 @@
-/* Taken out: a restarted process is another incarnation without loaded claims. */
+/* Disabled rule: a restarted process is a new incarnation without loaded claims. */
 #define BROKEN_RESTART
 #include "claim.pml"
--- a/model/claim-broken-second.pml
+++ b/model/claim-broken-second.pml
@@ -1,3 +1,3 @@
-/* Taken out: without the table, the second records before the grant. */
+/* Disabled rule: without the table, the secondary records the claim before the grant. */
 #define BROKEN_SECOND
 #include "claim.pml"
--- a/model/claim-broken-token.pml
+++ b/model/claim-broken-token.pml
@@ -1,3 +1,3 @@
-/* Taken out: a token is presented to one home only. */
+/* Disabled rule: a token is presented to one primary only. */
 #define BROKEN_TOKEN
 #include "claim.pml"
--- a/model/claim-broken-unflushed.pml
+++ b/model/claim-broken-unflushed.pml
@@ -1,3 +1,3 @@
-/* Taken out: a new home waits until the former pairs are settled. */
+/* Disabled rule: a new primary waits until the earlier replica pairs have flushed. */
 #define BROKEN_UNFLUSHED
 #include "claim.pml"
--- a/model/claim-broken-version.pml
+++ b/model/claim-broken-version.pml
@@ -1,3 +1,3 @@
-/* Taken out: home and second hold the same roster version. */
+/* Disabled rule: primary and secondary use the same roster version. */
 #define BROKEN_VERSION
 #include "claim.pml"
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -1,24 +1,24 @@
 /*
- * Claims on one id by two claimants, with three entries, two roster changes
- * and the table. A message stays in the network until its receiver can no
- * longer accept it and is delivered any number of times, so loss, delay,
- * doubling and reordering are included. An outage of the table, a cut link and
- * a pause are steps that are not taken; a commit that was sent may take effect
- * at any later time. Grants through the second may happen at any time, not
- * only in an outage. A run counts from its grant. A crashed process counts as
- * proven gone.
+ * Two claimants claim one id, with three entries, two roster changes and the
+ * table. A message stays in the network until its receiver can no longer accept
+ * it, and is delivered any number of times. This covers loss, delay, duplication
+ * and reordering. A table outage, a network partition and a paused process are
+ * steps that are not taken; a commit that was sent may take effect at any later
+ * time. Grants confirmed by the secondary may happen at any time, not only in an
+ * outage. A run counts from its grant. A crashed process counts as proven gone.
  *
- * Checked: the request runs at most once, and "not run" is true when said.
- * The BROKEN_ macros each take one rule out; see the files claim-broken-*.pml.
+ * Checked: the request runs at most once, and an id is reported as not run only
+ * if it has not run. Each BROKEN_ macro disables one rule; see the files
+ * claim-broken-*.pml.
  */
 #define NODES 3
 #define VERSIONS 3
 #define CONTESTED 3
 
-/* home and second of the id at roster versions 1, 2, 3 */
-#define HOME(v) ((v) - 1)
-#define SECOND(v) ((v) == 2 -> 2 : 1)
-#define IS_HOME(n) (alive[n] && HOME(view[n]) == n)
+/* primary and secondary replica of the id at roster versions 1, 2, 3 */
+#define PRIMARY(v) ((v) - 1)
+#define SECONDARY(v) ((v) == 2 -> 2 : 1)
+#define IS_PRIMARY(n) (alive[n] && PRIMARY(view[n]) == n)
 
 #define AT(t, v) ((t) * 4 + (v))
 #define RUNS (ran[1] + ran[2])
@@ -26,7 +26,7 @@
 #ifdef BROKEN_ACK
 #define MAY_ACK(n) true
 #else
-#define MAY_ACK(n) (owed[n] == 0 || owed[n] == view[n])
+#define MAY_ACK(n) (unpersisted[n] == 0 || unpersisted[n] == view[n])
 #endif
 
 #ifdef BROKEN_VERSION
@@ -36,9 +36,9 @@
 #endif
 
 #ifdef BROKEN_TOKEN
-#define FOR_HOME(t, n) true
+#define FOR_PRIMARY(t, n) true
 #else
-#define FOR_HOME(t, n) (target[t] == n)
+#define FOR_PRIMARY(t, n) (target[t] == n)
 #endif
 
 byte version = 1;          /* roster row */
@@ -47,51 +47,55 @@
 
 bit alive[NODES] = 1;
 byte view[NODES] = 1;      /* roster version in use */
-byte memory[NODES];        /* token recorded */
-byte owed[NODES];          /* version of a record the table may lack */
-byte waiting[NODES];       /* token pending */
+byte recorded[NODES];      /* recorded token */
+byte unpersisted[NODES];   /* roster version of a record that the table may lack */
+byte pending_token[NODES]; /* pending token */
 bit loaded[NODES];
 
-bit insert[12];            /* commits under way: token, version */
-bit ask[12];
+bit insert[12];            /* messages in flight, by token and version */
+bit mirror[12];
 bit confirm[12];
-byte target[3];            /* home to which the token is presented */
+byte target[3];            /* primary that the token is presented to */
 bit ran[3];
-byte n, t, v, past;
-bit settled;
+byte n, t, v, earlier;
+bit flushed;
 
-inline check_settled() {
+/*
+ * sets flushed if, in each earlier replica pair, the primary has acknowledged a
+ * later version, or is gone and the secondary has acknowledged one
+ */
+inline check_flushed() {
 	d_step {
-	settled = 1;
-	past = 1;
+	flushed = 1;
+	earlier = 1;
 	do
-	:: past >= view[n] -> break
+	:: earlier >= view[n] -> break
 	:: else ->
 		if
 #ifdef BROKEN_UNFLUSHED
 		:: true
 #else
-		:: HOME(past) == n || ack[HOME(past)] > past
+		:: PRIMARY(earlier) == n || ack[PRIMARY(earlier)] > earlier
 #ifdef BROKEN_CUTOFF
-		:: SECOND(past) == n || ack[SECOND(past)] > past
+		:: SECONDARY(earlier) == n || ack[SECONDARY(earlier)] > earlier
 #endif
 		:: else ->
 			if
-			:: !alive[HOME(past)] && (SECOND(past) == n || ack[SECOND(past)] > past)
-			:: else -> settled = 0
+			:: !alive[PRIMARY(earlier)] && (SECONDARY(earlier) == n || ack[SECONDARY(earlier)] > earlier)
+			:: else -> flushed = 0
 			fi
 #endif
 		fi;
-		past++
+		earlier++
 	od
 	}
 }
 
-/* merges the row into the node's record */
+/* merges the row into the node's record; different tokens become CONTESTED */
 inline read_row() {
 	if
-	:: row != 0 && memory[n] == 0 -> memory[n] = row
-	:: row != 0 && memory[n] != 0 && memory[n] != row -> memory[n] = CONTESTED
+	:: row != 0 && recorded[n] == 0 -> recorded[n] = row
+	:: row != 0 && recorded[n] != 0 && recorded[n] != row -> recorded[n] = CONTESTED
 	:: else
 	fi
 }
@@ -101,17 +105,17 @@
 	assert(RUNS <= 1)
 }
 
-/* drops the messages that can have no more effect */
+/* drops the messages that can no longer have an effect, to reduce the states */
 inline discard() {
 	d_step {
 	for (t : 1 .. 2) {
 		for (v : 1 .. 3) {
 			if
-			:: !alive[SECOND(v)] || (view[SECOND(v)] > v && !SAME_VERSION(SECOND(v), v)) -> ask[AT(t, v)] = 0
+			:: !alive[SECONDARY(v)] || (view[SECONDARY(v)] > v && !SAME_VERSION(SECONDARY(v), v)) -> mirror[AT(t, v)] = 0
 			:: else
 			fi;
 			if
-			:: !alive[HOME(v)] || view[HOME(v)] > v -> confirm[AT(t, v)] = 0
+			:: !alive[PRIMARY(v)] || view[PRIMARY(v)] > v -> confirm[AT(t, v)] = 0
 			:: else
 			fi;
 			if
@@ -151,12 +155,12 @@
 		n = 0;
 		t = 0;
 		v = 0;
-		past = 0;
-		settled = 0
+		earlier = 0;
+		flushed = 0
 	}
 }
 
-active proctype world() {
+active proctype system() {
 	atomic {
 		pick_node();
 		target[1] = n;
@@ -166,15 +170,15 @@
 	}
 end:
 	do
-	/* home: takes a claimant's request */
+	/* primary: accepts a claimant's request */
 	:: atomic {
 		pick_node();
 		pick_claimant();
 		if
-		:: IS_HOME(n) && waiting[n] == 0 && memory[n] == 0 && FOR_HOME(t, n) ->
-			check_settled();
+		:: IS_PRIMARY(n) && pending_token[n] == 0 && recorded[n] == 0 && FOR_PRIMARY(t, n) ->
+			check_flushed();
 			if
-			:: settled -> waiting[n] = t
+			:: flushed -> pending_token[n] = t
 			:: else
 			fi
 		:: else
@@ -189,28 +193,28 @@
 		reset()
 	}
 #endif
-	/* home: grants again what it recorded */
+	/* primary: repeats the grant of a recorded token */
 	:: atomic {
 		pick_node();
 		pick_claimant();
 		if
-		:: IS_HOME(n) && memory[n] == t && FOR_HOME(t, n) ->
+		:: IS_PRIMARY(n) && recorded[n] == t && FOR_PRIMARY(t, n) ->
 			grant(t)
 		:: else
 		fi;
 		reset()
 	}
-	/* home: sends a conditional insert */
+	/* primary: sends a conditional insert */
 	:: atomic {
 		pick_node();
 		if
-		:: IS_HOME(n) && waiting[n] != 0 && row == 0 && view[n] == version ->
-			insert[AT(waiting[n], view[n])] = 1
+		:: IS_PRIMARY(n) && pending_token[n] != 0 && row == 0 && view[n] == version ->
+			insert[AT(pending_token[n], view[n])] = 1
 		:: else
 		fi;
 		reset()
 	}
-	/* table: performs an insert */
+	/* table: executes an insert */
 	:: atomic {
 		pick_claimant();
 		pick_version();
@@ -222,113 +226,113 @@
 		fi;
 		reset()
 	}
-	/* home: reads the row and settles its pending claim on it */
+	/* primary: reads the row and grants or drops its pending claim */
 	:: atomic {
 		pick_node();
 		if
-		:: IS_HOME(n) && row != 0 ->
+		:: IS_PRIMARY(n) && row != 0 ->
 			read_row();
 			if
-				:: waiting[n] != 0 && memory[n] == waiting[n] && row == waiting[n] -> grant(waiting[n])
+				:: pending_token[n] != 0 && recorded[n] == pending_token[n] && row == pending_token[n] -> grant(pending_token[n])
 				:: else
 			fi;
-			waiting[n] = 0
+			pending_token[n] = 0
 		:: else
 		fi;
 		reset()
 	}
-	/* home: asks its second */
+	/* primary: asks its secondary to record the claim */
 	:: atomic {
 		pick_node();
 		if
-		:: IS_HOME(n) && waiting[n] != 0 && loaded[n] ->
+		:: IS_PRIMARY(n) && pending_token[n] != 0 && loaded[n] ->
 #ifdef BROKEN_SECOND
-			confirm[AT(waiting[n], view[n])] = 1;
+			confirm[AT(pending_token[n], view[n])] = 1;
 #endif
-			ask[AT(waiting[n], view[n])] = 1;
+			mirror[AT(pending_token[n], view[n])] = 1;
 			discard()
 		:: else
 		fi;
 		reset()
 	}
-	/* second: records and confirms */
+	/* secondary: records the claim and confirms */
 	:: atomic {
 		pick_claimant();
 		pick_version();
 		if
-		:: ask[AT(t, v)] && alive[SECOND(v)] && SAME_VERSION(SECOND(v), v) && (memory[SECOND(v)] == 0 || memory[SECOND(v)] == t) ->
-			n = SECOND(v);
-			memory[n] = t;
-			owed[n] = (owed[n] == 0 -> view[n] : owed[n]);
+		:: mirror[AT(t, v)] && alive[SECONDARY(v)] && SAME_VERSION(SECONDARY(v), v) && (recorded[SECONDARY(v)] == 0 || recorded[SECONDARY(v)] == t) ->
+			n = SECONDARY(v);
+			recorded[n] = t;
+			unpersisted[n] = (unpersisted[n] == 0 -> view[n] : unpersisted[n]);
 			confirm[AT(t, v)] = 1;
 			discard()
 		:: else
 		fi;
 		reset()
 	}
-	/* home: grants a confirmed claim */
+	/* primary: grants a confirmed claim */
 	:: atomic {
 		pick_claimant();
 		pick_version();
 		if
-		:: confirm[AT(t, v)] && alive[HOME(v)] && view[HOME(v)] == v && waiting[HOME(v)] == t ->
-			n = HOME(v);
-			waiting[n] = 0;
-			memory[n] = t;
-			owed[n] = (owed[n] == 0 -> v : owed[n]);
+		:: confirm[AT(t, v)] && alive[PRIMARY(v)] && view[PRIMARY(v)] == v && pending_token[PRIMARY(v)] == t ->
+			n = PRIMARY(v);
+			pending_token[n] = 0;
+			recorded[n] = t;
+			unpersisted[n] = (unpersisted[n] == 0 -> v : unpersisted[n]);
 			grant(t)
 		:: else
 		fi;
 		reset()
 	}
-	/* home: gives up a pending claim */
+	/* primary: gives up a pending claim */
 	:: atomic {
 		pick_node();
 		if
-		:: waiting[n] != 0 ->
-			waiting[n] = 0
+		:: pending_token[n] != 0 ->
+			pending_token[n] = 0
 		:: else
 		fi;
 		reset()
 	}
-	/* home: says that the id did not run */
+	/* primary: reports that the id did not run */
 	:: atomic {
 		pick_node();
 		if
-		:: IS_HOME(n) && loaded[n] && waiting[n] == 0 && memory[n] == 0 ->
+		:: IS_PRIMARY(n) && loaded[n] && pending_token[n] == 0 && recorded[n] == 0 ->
 			assert(RUNS == 0)
 		:: else
 		fi;
 		reset()
 	}
-	/* home: loads the bucket once it is settled */
+	/* primary: loads the bucket once earlier pairs have flushed */
 	:: atomic {
 		pick_node();
 		if
-		:: IS_HOME(n) && !loaded[n] && waiting[n] == 0 ->
-			check_settled();
+		:: IS_PRIMARY(n) && !loaded[n] && pending_token[n] == 0 ->
+			check_flushed();
 			if
-			:: settled -> read_row(); loaded[n] = 1
+			:: flushed -> read_row(); loaded[n] = 1
 			:: else
 			fi
 		:: else
 		fi;
 		reset()
 	}
-	/* holder: flushes what it owes */
+	/* replica: flushes its unpersisted record */
 	:: atomic {
 		pick_node();
 		if
-		:: alive[n] && owed[n] != 0 ->
+		:: alive[n] && unpersisted[n] != 0 ->
 			read_row();
-			row = memory[n];
-			owed[n] = 0;
+			row = recorded[n];
+			unpersisted[n] = 0;
 			discard()
 		:: else
 		fi;
 		reset()
 	}
-	/* holder: acknowledges its roster version */
+	/* replica: acknowledges its roster version */
 	:: atomic {
 		pick_node();
 		if
@@ -345,16 +349,16 @@
 		discard();
 		reset()
 	}
-	/* holder: hears of the next roster version */
+	/* replica: receives the next roster version */
 	:: atomic {
 		pick_node();
 		if
 		:: alive[n] && view[n] < version ->
 			view[n]++;
 			loaded[n] = 0;
-			waiting[n] = 0;
+			pending_token[n] = 0;
 			if
-			:: HOME(view[n]) != n && owed[n] == 0 -> memory[n] = 0
+			:: PRIMARY(view[n]) != n && unpersisted[n] == 0 -> recorded[n] = 0
 			:: else
 			fi;
 			discard()
@@ -362,16 +366,16 @@
 		fi;
 		reset()
 	}
-	/* holder: crashes */
+	/* replica: crashes */
 	:: atomic {
 		pick_node();
 		if
 		:: alive[n] ->
-			memory[n] = 0;
-			owed[n] = 0;
-			waiting[n] = 0;
+			recorded[n] = 0;
+			unpersisted[n] = 0;
+			pending_token[n] = 0;
 #ifdef BROKEN_RESTART
-			loaded[n] = (HOME(view[n]) == n);
+			loaded[n] = (PRIMARY(view[n]) == n);
 #else
 			alive[n] = 0;
 			loaded[n] = 0;
--- a/model/host-broken-confirmations.pml
+++ b/model/host-broken-confirmations.pml
@@ -1,3 +1,3 @@
-/* One rule is taken out: the search must find a violation. */
+/* Disabled rule: a host moves only once all entries have confirmed the drain. */
 #define RULE_CONFIRM 0
 #include "host.pml"
--- a/model/host-broken-longest-run.pml
+++ b/model/host-broken-longest-run.pml
@@ -1,3 +1,3 @@
-/* One rule is taken out: the search must find a violation. */
+/* Disabled rule: a host moves only once the work of crashed entries has ended. */
 #define RULE_LONGEST_RUN 0
 #include "host.pml"
--- a/model/host-broken-row-version.pml
+++ b/model/host-broken-row-version.pml
@@ -1,3 +1,3 @@
-/* One rule is taken out: the search must find a violation. */
+/* Disabled rule: a commit requires that the host's row is unchanged. */
 #define RULE_ROW_VERSION 0
 #include "host.pml"
--- a/model/host.pml
+++ b/model/host.pml
@@ -1,7 +1,7 @@
 /*
  * A host moves between two pools. Two managers act on rows that they read some
- * time ago; entries send work by their own view of the row, crash with work
- * running, and join. The host must never run work of another pool than its row's.
+ * time ago; entries dispatch work according to their own copy of the row, crash
+ * while work runs, and join. The host must only ever run work of its row's pool.
  *
  * Transitions and their functions: docs/decisions/012-host-moves.md.
  */
@@ -30,7 +30,7 @@
 byte roster = 1;
 bool member[ENTRIES];
 
-/* Each entry's view, its work at the host, and its last confirmation. */
+/* Each entry's copy of the row, its work at the host and its last confirmation. */
 byte viewPool[ENTRIES];
 bool viewDraining[ENTRIES];
 byte viewEpoch[ENTRIES];
@@ -39,7 +39,7 @@
 byte confirmed[ENTRIES];
 bool crashed[ENTRIES];
 
-inline check() {
+inline checkPool() {
 	assert(!work[0] || workPool[0] == pool);
 	assert(!work[1] || workPool[1] == pool);
 }
@@ -51,25 +51,25 @@
 	fi;
 	atomic { viewPool[e] = pool; viewDraining[e] = draining; viewEpoch[e] = epoch };
 	do
-	:: atomic { !viewDraining[e] && !work[e] -> work[e] = true; workPool[e] = viewPool[e]; check() }
+	:: atomic { !viewDraining[e] && !work[e] -> work[e] = true; workPool[e] = viewPool[e]; checkPool() }
 	:: atomic { work[e] -> work[e] = false }
 	:: atomic { viewEpoch[e] != epoch -> viewPool[e] = pool; viewDraining[e] = draining; viewEpoch[e] = epoch }
 	:: atomic { viewDraining[e] && !work[e] && confirmed[e] != viewEpoch[e] -> confirmed[e] = viewEpoch[e] }
 	:: atomic { e == 0 -> crashed[e] = true; member[e] = false; roster++; break }
 	:: epoch >= LAST_EPOCH -> break
 	od;
-	/* What a crashed entry left behind ends by itself. */
+	/* Work of a crashed entry ends by itself. */
 	if
 	:: atomic { crashed[e] && work[e] -> work[e] = false }
 	:: !crashed[e] || !work[e]
 	fi
 }
 
-#define counted(e) (!(readMember[e]) || confirmed[e] >= readEpoch)
-#define over(e) (!crashed[e] || !work[e])
-#define allConfirmed (!RULE_CONFIRM || (counted(0) && counted(1)))
-#define allOver (!RULE_LONGEST_RUN || (over(0) && over(1)))
-#define quiet (allConfirmed && allOver)
+#define confirmedOrGone(e) (!(readMember[e]) || confirmed[e] >= readEpoch)
+#define workEnded(e) (!crashed[e] || !work[e])
+#define allConfirmed (!RULE_CONFIRM || (confirmedOrGone(0) && confirmedOrGone(1)))
+#define allWorkEnded (!RULE_LONGEST_RUN || (workEnded(0) && workEnded(1)))
+#define drained (allConfirmed && allWorkEnded)
 #define unchanged ((!RULE_ROW_VERSION || epoch == readEpoch) && (!RULE_ROSTER_VERSION || roster == readRoster))
 
 proctype Manager() {
@@ -79,7 +79,7 @@
 	do
 	:: epoch >= LAST_EPOCH -> break
 	:: else ->
-		/* The roster is polled apart and may be older than the row. */
+		/* The roster is polled separately and may be older than the row. */
 		if
 		:: atomic {
 			readRoster = roster;
@@ -92,21 +92,21 @@
 		:: !readDraining -> atomic {
 			if
 			:: unchanged ->
-				draining = true; pool = readPool; epoch++; check()
+				draining = true; pool = readPool; epoch++; checkPool()
 			:: else
 			fi
 		}
 		:: readDraining -> atomic {
 			if
-			:: quiet && unchanged ->
-				draining = false; pool = 1 - readPool; epoch++; check()
+			:: drained && unchanged ->
+				draining = false; pool = 1 - readPool; epoch++; checkPool()
 			:: else
 			fi
 		}
 		:: readDraining -> atomic {
 			if
 			:: unchanged ->
-				draining = false; pool = readPool; epoch++; check()
+				draining = false; pool = readPool; epoch++; checkPool()
 			:: else
 			fi
 		}
--- a/model/permits-broken-condition.pml
+++ b/model/permits-broken-condition.pml
@@ -1,3 +1,3 @@
-/* A manager commits whatever the row's version. */
+/* Disabled rule: a commit is conditional on the row version. */
 #define NO_CONDITION
 #include "permits.pml"
--- a/model/permits-broken-debit.pml
+++ b/model/permits-broken-debit.pml
@@ -1,3 +1,3 @@
-/* A member gives without subtracting. */
+/* Disabled rule: a transfer reduces the sender's holding. */
 #define NO_DEBIT
 #include "permits.pml"
--- a/model/permits-broken-evidence.pml
+++ b/model/permits-broken-evidence.pml
@@ -1,3 +1,6 @@
-/* A member is taken for gone without evidence, as by a lease on the clock. */
+/*
+ * Disabled rule: a member counts as gone only on evidence. An expired lease is no
+ * evidence.
+ */
 #define NO_EVIDENCE
 #include "permits.pml"
--- a/model/permits-broken-freeze.pml
+++ b/model/permits-broken-freeze.pml
@@ -1,3 +1,3 @@
-/* A member accepts transfers after its report. */
+/* Disabled rule: a member accepts no transfers after its report. */
 #define NO_FREEZE
 #include "permits.pml"
--- a/model/permits-broken-ghosts.pml
+++ b/model/permits-broken-ghosts.pml
@@ -1,3 +1,6 @@
-/* A gone member is struck off although a silent one may have its permits. */
+/*
+ * Disabled rule: a gone member is carried while an unreported member may hold its
+ * permits.
+ */
 #define NO_GHOSTS
 #include "permits.pml"
--- a/model/permits-broken-stay.pml
+++ b/model/permits-broken-stay.pml
@@ -1,3 +1,3 @@
-/* A carried member adopts the newer generation without having reported. */
+/* Disabled rule: a carried member stays in its generation until it has reported. */
 #define NO_STAY
 #include "permits.pml"
--- a/model/permits-lower.pml
+++ b/model/permits-lower.pml
@@ -1,3 +1,3 @@
-/* The limit is lowered while members trade, crash and are carried. */
+/* The limit is lowered while members transfer permits, crash and are carried. */
 #define LOWER
 #include "permits.pml"
--- a/model/permits.pml
+++ b/model/permits.pml
@@ -1,20 +1,21 @@
 /*
- * Permits of one team: members trade within a generation, managers rebase by
- * a conditional commit. A pause, a cut link and a late or lost message are all
- * interleavings: any member may act late and any report may go unused.
+ * Permits of one team: members transfer permits within a generation, and managers
+ * rebase to the next generation by a conditional commit. A paused process, a
+ * network partition and a late or lost message are all interleavings: any member
+ * may act late and any report may go unused.
  *
- * A live member may run all that it holds at any instant, so the check is on
- * holdings; a dead member's work goes on until its longest run is over.
+ * A live member may use all its permits at any time, so the check is on holdings;
+ * a dead member's work continues until its longest run is over.
  *
- * The NO_* macros each take out one rule; see permits-broken-*.pml.
+ * Each NO_* macro disables one rule; see permits-broken-*.pml.
  */
 #define N 3
 #define LIMIT 2
 #define MAXGEN 3
 #ifdef LOWER
-#define MOVES 1
+#define TRANSFERS 1
 #else
-#define MOVES 2
+#define TRANSFERS 2
 #endif
 
 #define AT(g, m) (((g) - 1) * N + (m))
@@ -28,21 +29,24 @@
 short bound[N];
 bit inRow[N];
 
-/* The members. Work in over runs without a permit; only broken rules make any. */
+/*
+ * The members. unpermitted counts runs without a permit; there are some only if a
+ * rule is disabled.
+ */
 byte gen[N];
 byte holding[N];
 bit frozen[N];
 bit dead[N];
 bit gone[N];
-byte over = 0;
+byte unpermitted = 0;
 
-/* Totals by generation; the network may show a receiver any earlier total. */
+/* Totals by generation; a receiver may observe any earlier total. */
 byte sent[MAXGEN * N * N];
 byte received[MAXGEN * N * N];
 
 /*
- * The plan of a slow manager, from reading to commit. A quick manager races
- * it: its plan is the second half of the arrays and is committed at once.
+ * The plan of a slow manager, from its read to its commit. A fast manager races
+ * with it: its plan is the second half of the arrays and is committed at once.
  */
 bit planned;
 byte planBase;
@@ -53,8 +57,8 @@
 bit planInRow[2 * N];
 bit fits;
 
-byte wanted = LIMIT;
-byte moves = MOVES;
+byte targetLimit = LIMIT;
+byte transfers = TRANSFERS;
 byte crashes = 1;
 
 #ifdef NO_FREEZE
@@ -82,27 +86,27 @@
 #else
 #define CONDITION (planBase == rowGen)
 #endif
-/* A gone member counts on while anyone of its generation is silent. */
+/* A gone member is carried while any member of its generation is unreported. */
 #ifdef NO_GHOSTS
 #define KEPT(m) (!gone[m])
 #else
-#define KEPT(m) silent
+#define KEPT(m) unreported
 #endif
 
-#define TOTAL (holding[0] + holding[1] + holding[2] + over)
+#define TOTAL (holding[0] + holding[1] + holding[2] + unpermitted)
 #define EXPECTED(m) (carriedAt[AT(rowGen, m)] > 0 -> carriedAt[AT(rowGen, m)] : rowGen)
 #define BASE(m) (carriedAt[AT(rowGen, m)] > 0 -> bound[m] : granted[AT(rowGen, m)])
 #define REPORTED(m) (inRow[m] && frozen[m] && gen[m] == EXPECTED(m))
 #define USED(mask, m) ((((mask) >> (m)) & 1) && REPORTED(m))
-/* Every report in mask is there, and one of them is a live member's. */
+/* Every member in mask has reported, and one of them is live. */
 #define HAS(mask, m) (!(((mask) >> (m)) & 1) || REPORTED(m))
 #define LIVE(mask, m) (USED(mask, m) && !gone[m])
 #define READY(mask) (HAS(mask, 0) && HAS(mask, 1) && HAS(mask, 2) && (LIVE(mask, 0) || LIVE(mask, 1) || LIVE(mask, 2)))
 
-inline give(m, y) {
+inline transfer(m, y) {
 	d_step {
-		moves > 0 && !dead[m] && !frozen[m] && holding[m] > 0 ->
-		moves--;
+		transfers > 0 && !dead[m] && !frozen[m] && holding[m] > 0 ->
+		transfers--;
 		sent[FLOW(gen[m], m, y)]++;
 		holding[m] = holding[m] - DEBIT
 	}
@@ -123,15 +127,15 @@
 	}
 }
 
-/* A trim gives up idle permits; a hold gives up each permit as its work ends. */
-inline trim(m) {
+/* A frozen member releases permits that are idle or whose work has ended. */
+inline releaseFrozen(m) {
 	d_step {
-		!dead[m] && frozen[m] && wanted < rowLimit && holding[m] > 0 -> holding[m]--
+		!dead[m] && frozen[m] && targetLimit < rowLimit && holding[m] > 0 -> holding[m]--
 	}
 }
 
-/* A member reads a committed row, maybe an old one. */
-inline adopt(m, g) {
+/* A member reads a committed row, possibly an old one. */
+inline adoptRow(m, g) {
 	d_step {
 		!dead[m] && g > gen[m] && g <= rowGen ->
 		if
@@ -141,7 +145,7 @@
 		:: carriedAt[AT(g, m)] > 0 && carriedAt[AT(g, m)] <= gen[m]
 		:: else ->
 			if
-			:: holding[m] > granted[AT(g, m)] -> over = over + holding[m] - granted[AT(g, m)]
+			:: holding[m] > granted[AT(g, m)] -> unpermitted = unpermitted + holding[m] - granted[AT(g, m)]
 			:: else
 			fi;
 			gen[m] = g;
@@ -152,12 +156,12 @@
 	}
 }
 
-inline adoptSecond(m) {
-	adopt(m, 2)
+inline adoptGeneration2(m) {
+	adoptRow(m, 2)
 }
 
-inline adoptThird(m) {
-	adopt(m, 3)
+inline adoptGeneration3(m) {
+	adoptRow(m, 3)
 }
 
 inline crash(m) {
@@ -166,20 +170,20 @@
 	}
 }
 
-/* There is evidence that the member ended, and the longest run is over. */
-inline prove(m) {
+/* There is evidence that the member has ended, and its longest run is over. */
+inline proveGone(m) {
 	d_step {
 		!gone[m] && EVIDENCE(m) -> gone[m] = 1; holding[m] = LEFT_RUNNING(m)
 	}
 }
 
 /*
- * Works out the next row from the reports in mask. What is free goes to the
- * first live member, or by the quick manager to the last.
+ * Computes the next row from the reports in mask. Free permits go to the first
+ * live member, or to the last one if the fast manager plans.
  */
-inline workOut(i, mask) {
+inline computePlan(i, mask) {
 	sum = 0;
-	taker = N;
+	recipient = N;
 	a = 0;
 	do
 	:: a < N ->
@@ -188,9 +192,9 @@
 			planGranted[i * N + a] = holding[a];
 			planInRow[i * N + a] = 1;
 			sum = sum + holding[a];
-			taker = ((i == 1 || taker == N) -> a : taker)
+			recipient = ((i == 1 || recipient == N) -> a : recipient)
 		:: inRow[a] && !USED(mask, a) ->
-			silent = 0;
+			unreported = 0;
 			flows = 0;
 			b = 0;
 			do
@@ -199,7 +203,7 @@
 				:: inRow[b] && EXPECTED(b) == EXPECTED(a) && USED(mask, b) ->
 					flows = flows + sent[FLOW(EXPECTED(a), b, a)] - received[FLOW(EXPECTED(a), a, b)]
 				:: inRow[b] && EXPECTED(b) == EXPECTED(a) && !USED(mask, b) && !gone[b] ->
-					silent = 1
+					unreported = 1
 				:: else
 				fi;
 				b++
@@ -220,15 +224,15 @@
 	od;
 	fits = 0;
 	if
-	:: sum <= wanted ->
-		planGranted[i * N + taker] = planGranted[i * N + taker] + wanted - sum;
+	:: sum <= targetLimit ->
+		planGranted[i * N + recipient] = planGranted[i * N + recipient] + targetLimit - sum;
 		fits = 1
 	:: else
 	fi;
-	sum = 0; a = 0; b = 0; taker = 0; silent = 0; flows = 0
+	sum = 0; a = 0; b = 0; recipient = 0; unreported = 0; flows = 0
 }
 
-inline write(i, base, newLimit) {
+inline commitRow(i, base, newLimit) {
 	a = 0;
 	do
 	:: a < N ->
@@ -237,7 +241,7 @@
 		bound[a] = planBound[i * N + a];
 		inRow[a] = planInRow[i * N + a];
 #ifdef NO_STAY
-		/* Each bound is handed out as an ordinary grant. */
+		/* Each carried bound is granted like an ordinary holding. */
 		if
 		:: planCarriedAt[i * N + a] > 0 ->
 			carriedAt[AT(base + 1, a)] = 0;
@@ -254,7 +258,7 @@
 	assert(TOTAL <= rowLimit)
 }
 
-inline clear(i) {
+inline clearPlan(i) {
 	a = 0;
 	do
 	:: a < N ->
@@ -269,56 +273,56 @@
 	fits = 0
 }
 
-inline drop() {
+inline dropPlan() {
 	planned = 0;
 	planBase = 0;
 	planLimit = 0;
-	clear(0)
+	clearPlan(0)
 }
 
-inline quick(mask) {
+inline planAndCommit(mask) {
 	d_step {
 		rowGen < MAXGEN && READY(mask) ->
-		workOut(1, mask);
+		computePlan(1, mask);
 		if
 		:: fits ->
-			write(1, rowGen, wanted);
-			/* The slow manager's commit would find another version. */
+			commitRow(1, rowGen, targetLimit);
+			/* The slow manager's commit would fail on the row version. */
 			if
-			:: planned && !CONDITION -> drop()
+			:: planned && !CONDITION -> dropPlan()
 			:: else
 			fi
 		:: else
 		fi;
-		clear(1)
+		clearPlan(1)
 	}
 }
 
 inline plan(mask) {
 	d_step {
 		!planned && rowGen < MAXGEN && READY(mask) ->
-		workOut(0, mask);
+		computePlan(0, mask);
 		if
 		:: fits ->
 			planned = 1;
 			planBase = rowGen;
-			planLimit = wanted;
+			planLimit = targetLimit;
 			fits = 0
-		:: else -> clear(0)
+		:: else -> clearPlan(0)
 		fi
 	}
 }
 
-/* A lost answer changes nothing: the same commit again finds another version. */
+/* A lost response changes nothing: a repeated commit fails on the row version. */
 inline commit() {
 	d_step {
-		planned && CONDITION -> write(0, planBase, planLimit); drop()
+		planned && CONDITION -> commitRow(0, planBase, planLimit); dropPlan()
 	}
 }
 
-inline lower() {
+inline lowerLimit() {
 	d_step {
-		wanted == LIMIT -> wanted = LIMIT - 1
+		targetLimit == LIMIT -> targetLimit = LIMIT - 1
 	}
 }
 
@@ -327,9 +331,9 @@
 #define PLANS(action) :: action(1) :: action(2) :: action(3) :: action(4) :: action(5) :: action(6) :: action(7)
 
 init {
-	byte a, b, taker;
+	byte a, b, recipient;
 	short sum, flows;
-	bit silent;
+	bit unreported;
 	d_step {
 		granted[AT(1, 0)] = 1;
 		granted[AT(1, 1)] = 1;
@@ -343,18 +347,18 @@
 	do
 	EACH(freeze)
 	EACH(crash)
-	EACH(prove)
-	PAIRS(give)
+	EACH(proveGone)
+	PAIRS(transfer)
 	PAIRS(receive)
-	EACH(adoptSecond)
-	EACH(adoptThird)
-	PLANS(quick)
+	EACH(adoptGeneration2)
+	EACH(adoptGeneration3)
+	PLANS(planAndCommit)
 #ifndef LOWER
 	PLANS(plan)
 	:: commit()
 #else
-	EACH(trim)
-	:: lower()
+	EACH(releaseFrozen)
+	:: lowerLimit()
 #endif
 	od
 }
--- a/model/run.sh
+++ b/model/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks every model under model/. A file <name>.pml must verify without an error;
-# a file <name>-broken-<rule>.pml has one rule taken out and must fail.
+# Checks every model under model/ with spin. <name>.pml must verify without an
+# error; <name>-broken-<rule>.pml disables one rule and must yield a violation.
 set -euo pipefail
 cd "$(dirname "$0")"
 mkdir -p build
