--- a/cmd/lovagedyke/cmd_test.go
+++ b/cmd/lovagedyke/cmd_test.go
@@ -124,9 +124,9 @@
 
 	key := strings.TrimSpace(s.expect(t, exitOK, "in force on all 1 processes", "key", "give", "-wait", "1s", "acme"))
 	id := strings.Split(key, "_")[1]
-	listed := s.expect(t, exitOK, "in-force", "key", "list")
-	if strings.Contains(listed, key) {
-		t.Errorf("got the secret in %q", listed)
+	keyList := s.expect(t, exitOK, "in-force", "key", "list")
+	if strings.Contains(keyList, key) {
+		t.Errorf("got the secret in %q", keyList)
 	}
 	s.fakeFleet.unconfirmed = true
 	s.expect(t, exitNotInForce, "not confirmed by entry-1", "key", "withdraw", "-wait", "50ms", id)
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -81,7 +81,7 @@
 	long := f.loadConfig("entry-1")
 	long.RunTime, long.Concurrency = 2*time.Second, 12
 	stopLong := f.startLoad(long)
-	f.eventually("entry 1 runs half of the limit", func() bool { return f.permits("entry-1").InUse >= teamLimit/2 })
+	f.eventually("entry 1 uses half of the limit", func() bool { return f.permits("entry-1").InUse >= teamLimit/2 })
 	f.kill("entry-1")
 	short := f.loadConfig("entry-2", "entry-3")
 	short.RunTime = 200 * time.Millisecond
@@ -100,13 +100,13 @@
 
 // A single entry that receives all of a team's load can use nearly all of the
 // team's upper limit.
-func TestOneEntryUsesWholeLimit(t *testing.T) {
+func TestOneEntryCanUseTheLimit(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	config := f.loadConfig("entry-1")
 	config.RunTime = 300 * time.Millisecond
 	stop := f.startLoad(config)
 	// 95% of 12 permits, rounded down.
-	f.eventually("entry 1 runs 95% of the limit", func() bool { return f.permits("entry-1").InUse >= 11 })
+	f.eventually("entry 1 uses 95% of the limit", func() bool { return f.permits("entry-1").InUse >= 11 })
 	stop()
 	f.checkUpperLimit(teamLimit)
 }
@@ -193,9 +193,9 @@
 // resumes.
 func TestWithdrawnKeyAtAPausedEntry(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	spare := f.issueKey()
+	withdrawnKey := f.issueKey()
 	f.signal("entry-2", syscall.SIGSTOP)
-	id := strings.SplitN(strings.TrimPrefix(spare, "lk_"), "_", 2)[0]
+	id := strings.SplitN(strings.TrimPrefix(withdrawnKey, "lk_"), "_", 2)[0]
 	if _, err := f.operators.WithdrawKey(context.Background(), id, ""); err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 	f.signal("entry-2", syscall.SIGCONT)
 	config := f.loadConfig("entry-2")
 	config.Probes = nil
-	config.Key, config.Requests = spare, 50
+	config.Key, config.Requests = withdrawnKey, 50
 	report := f.runLoad(config)
 	if got := report.OK; got != 0 {
 		t.Errorf("requests with the withdrawn key: got %d served, want 0", got)
@@ -219,14 +219,14 @@
 // withdrawn key from them.
 func TestWithdrawnKeyAtAnEntryWithoutTable(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	spare := f.issueKey()
+	withdrawnKey := f.issueKey()
 	f.injectFaults(`{"down":true,"processes":["entry-2"]}`)
-	id := strings.SplitN(strings.TrimPrefix(spare, "lk_"), "_", 2)[0]
+	id := strings.SplitN(strings.TrimPrefix(withdrawnKey, "lk_"), "_", 2)[0]
 	if _, err := f.operators.WithdrawKey(context.Background(), id, ""); err != nil {
 		t.Fatal(err)
 	}
 	config := f.loadConfig("entry-2")
-	config.Key, config.Requests = spare, 1
+	config.Key, config.Requests = withdrawnKey, 1
 	f.eventually("entry 2 refuses the key", func() bool { return f.runLoad(config).OK == 0 })
 	valid := f.loadConfig("entry-2")
 	valid.Requests = 20
@@ -262,7 +262,7 @@
 	config := f.loadConfig("entry-1", "entry-2", "entry-3")
 	config.Rate, config.RunTime = 100, 50*time.Millisecond
 	stop := f.startLoad(config)
-	f.eventually("the host has work", func() bool { return f.endpoints[0].Stats().Total.Started > 20 })
+	f.eventually("the host runs requests", func() bool { return f.endpoints[0].Stats().Total.Started > 20 })
 	if _, err := f.operators.DrainHost(context.Background(), "host-orders-1", api.DrainRequest{Purpose: "maintenance"}); err != nil {
 		t.Fatal(err)
 	}
@@ -281,7 +281,7 @@
 	if _, err := f.operators.ReturnHost(context.Background(), "host-orders-1"); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually("the host has work again", func() bool { return f.endpoints[0].Stats().Total.Started > after.Started })
+	f.eventually("the host runs requests again", func() bool { return f.endpoints[0].Stats().Total.Started > after.Started })
 	f.checkResponses(stop())
 }
 
@@ -312,7 +312,7 @@
 	for i := range 4 {
 		f.addEndpoint(fmt.Sprintf("orders-%d", i+3))
 	}
-	f.eventually("managers see six hosts", func() bool { return len(f.poolHosts("p")) == 6 })
+	f.eventually("managers list six hosts", func() bool { return len(f.poolHosts("p")) == 6 })
 	config := f.loadConfig("entry-1", "entry-2")
 	config.Rate = 100
 	stop := f.startLoad(config)
@@ -347,7 +347,7 @@
 	for i := range 4 {
 		f.addEndpoint(fmt.Sprintf("orders-%d", i+3))
 	}
-	f.eventually("managers see six hosts", func() bool { return len(f.poolHosts("p")) == 6 })
+	f.eventually("managers list six hosts", func() bool { return len(f.poolHosts("p")) == 6 })
 	f.injectFaults(`{"broken-reboots":["host-orders-1","host-orders-2","host-orders-3","host-orders-4","host-orders-5","host-orders-6"]}`)
 	if _, err := f.operators.StartWave(context.Background(), api.WaveRequest{Pool: "p", Need: 3}); err != nil {
 		t.Fatal(err)
@@ -363,12 +363,12 @@
 // cannot be proved are listed instead.
 func TestChargesMatchRuns(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	good := f.loadConfig("entry-1", "entry-2")
-	good.Rate = 80
-	stopGood := f.startLoad(good)
-	cut := f.loadConfig("entry-1", "entry-2")
-	cut.Behaviour, cut.Requests, cut.Marked, cut.Rate = "truncate", 40, true, 40
-	f.runLoad(cut)
+	steady := f.loadConfig("entry-1", "entry-2")
+	steady.Rate = 80
+	stopSteady := f.startLoad(steady)
+	truncated := f.loadConfig("entry-1", "entry-2")
+	truncated.Behaviour, truncated.Requests, truncated.Marked, truncated.Rate = "truncate", 40, true, 40
+	f.runLoad(truncated)
 	late := f.loadConfig("entry-1", "entry-2")
 	late.RunTime, late.Deadline, late.Requests, late.Marked, late.Rate = 400*time.Millisecond, 100*time.Millisecond, 20, true, 20
 	f.runLoad(late)
@@ -377,7 +377,7 @@
 	f.injectFaults(`{"lose-answers":true}`)
 	time.Sleep(time.Second)
 	f.injectFaults(`{}`)
-	f.checkResponses(stopGood())
+	f.checkResponses(stopSteady())
 	f.eventually("every run is charged or listed", func() bool {
 		charged, unproven := f.listRunIDs("charge/"), f.listRunIDs("charge-unproven/")
 		for id := range f.completedRunIDs() {
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -81,7 +81,7 @@
 	if got, want := report.OK, 50; got != want {
 		t.Errorf("served: got %d (%v), want %d", got, report.Reasons, want)
 	}
-	stranger, strangerKey := newCertificate(t, nil, nil)
+	foreignCert, foreignKey := newCertificate(t, nil, nil)
 	tests := map[string]*tls.Config{
 		"no TLS": nil,
 		"no certificate": {
@@ -89,7 +89,7 @@
 		},
 		"another authority": {
 			InsecureSkipVerify: true,
-			Certificates:       []tls.Certificate{{Certificate: [][]byte{stranger.Raw}, PrivateKey: strangerKey}},
+			Certificates:       []tls.Certificate{{Certificate: [][]byte{foreignCert.Raw}, PrivateKey: foreignKey}},
 		},
 	}
 	for name, config := range tests {
@@ -98,7 +98,7 @@
 			defer dialer.Close()
 			_, err := dialer.Dial(f.processes["entry-1"].peers).Exchange(context.Background(), &peerpb.State{})
 			if err == nil {
-				t.Error("exchange: got an answer, want none")
+				t.Error("exchange: got a response, want an error")
 			}
 		})
 	}
