--- a/cmd/lovagedyke-standin/cmd_fleet.go
+++ b/cmd/lovagedyke-standin/cmd_fleet.go
@@ -89,7 +89,7 @@
 
 // writeSettings writes a settings file per node and returns the addresses on
 // which the nodes serve callers.
-func writeSettings(platform *standin.Stage, options fleetOptions) ([]netip.AddrPort, error) {
+func writeSettings(platform *standin.Platform, options fleetOptions) ([]netip.AddrPort, error) {
 	var callers []netip.AddrPort
 	loopback := netip.MustParseAddr("127.0.0.1")
 	for n := range options.nodes {
@@ -107,7 +107,7 @@
 
 // submitJob submits a job, and retries at the next node after each failure as
 // callers do.
-func submitJob(ctx context.Context, platform *standin.Stage, nodes []netip.AddrPort, n int) error {
+func submitJob(ctx context.Context, platform *standin.Platform, nodes []netip.AddrPort, n int) error {
 	deadline := time.Now().Add(jobTimeout)
 	for attempt := n; time.Now().Before(deadline) && ctx.Err() == nil; attempt++ {
 		callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -122,7 +122,7 @@
 }
 
 // waitForCompletion reports whether a job completes within jobTimeout.
-func waitForCompletion(ctx context.Context, platform *standin.Stage, nodes []netip.AddrPort, n int) bool {
+func waitForCompletion(ctx context.Context, platform *standin.Platform, nodes []netip.AddrPort, n int) bool {
 	deadline := time.Now().Add(jobTimeout)
 	for attempt := n; time.Now().Before(deadline) && ctx.Err() == nil; attempt++ {
 		callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -142,7 +142,7 @@
 
 // checkFleet prints the results. It returns an error unless every job and task
 // completed and no task was started twice.
-func checkFleet(platform *standin.Stage, jobs, complete int) error {
+func checkFleet(platform *standin.Platform, jobs, complete int) error {
 	done := 0
 	for n := range jobs {
 		done += platform.DoneTasks(jobID(n))
@@ -152,8 +152,8 @@
 	fmt.Printf("%-32s %6d of %d\n", "jobs complete", complete, jobs)
 	fmt.Printf("%-32s %6d of %d\n", "tasks done", done, want)
 	fmt.Printf("%-32s %6d\n", "runs", report.Runs)
-	fmt.Printf("%-32s %6d\n", "tasks started twice", len(report.Doubles))
-	if complete != jobs || done != want || len(report.Doubles) != 0 {
+	fmt.Printf("%-32s %6d\n", "tasks started twice", len(report.DuplicateStarts))
+	if complete != jobs || done != want || len(report.DuplicateStarts) != 0 {
 		return errors.New("check failed: want every job and task complete and no task started twice")
 	}
 	return nil
--- a/cmd/lovagedyke-standin/cmd_load.go
+++ b/cmd/lovagedyke-standin/cmd_load.go
@@ -23,7 +23,7 @@
 	})
 	flags.Func("probe", "operations address of the target before it, to pass over it while it is not ready", func(text string) error {
 		probe, err := netip.ParseAddrPort(text)
-		cfg.Probes = append(cfg.Probes, probe)
+		cfg.ReadinessAddresses = append(cfg.ReadinessAddresses, probe)
 		return err
 	})
 	flags.StringVar(&cfg.Service, "service", "", "service to call")
@@ -34,7 +34,7 @@
 	flags.IntVar(&cfg.Requests, "requests", 0, "most requests to send; unbounded if zero")
 	flags.IntVar(&cfg.Concurrency, "concurrency", 0, "requests at a time; 16 if zero")
 	flags.IntVar(&cfg.BodyBytes, "body", 0, "bytes of each request's body")
-	flags.BoolVar(&cfg.Marked, "marked", false, "give each request an idempotency key")
+	flags.BoolVar(&cfg.IdempotencyKeys, "marked", false, "give each request an idempotency key")
 	flags.IntVar(&cfg.Copies, "copies", 1, "targets that get each request at the same time")
 	flags.DurationVar(&cfg.Deadline, "deadline", 0, "deadline header; none if zero")
 	flags.DurationVar(&cfg.Timeout, "timeout", 0, "longest wait for an answer; 30s if zero")
--- a/cmd/lovagedyke-standin/cmd_report.go
+++ b/cmd/lovagedyke-standin/cmd_report.go
@@ -90,7 +90,7 @@
 func (s *reportSources) setWithdrawn(text string) error {
 	name, at, _ := strings.Cut(text, "=")
 	parsed, err := time.Parse(time.RFC3339Nano, at)
-	s.evidence.Withdrawn, s.evidence.WithdrawnAt = name, parsed
+	s.evidence.WithdrawnLoad, s.evidence.WithdrawnAt = name, parsed
 	return err
 }
 
--- a/cmd/lovagedyke/cmd_test.go
+++ b/cmd/lovagedyke/cmd_test.go
@@ -69,7 +69,7 @@
 		Guard:   func() []table.Condition { return nil },
 	})
 	server := httptest.NewServer(operator.New(operator.Config{
-		Store: s.store, Author: committer, Fleet: s.fakeFleet, Records: s.fakeFleet,
+		Store: s.store, Committer: committer, Fleet: s.fakeFleet, Records: s.fakeFleet,
 		Keys: func() [][]byte { return [][]byte{[]byte(testKey)} },
 	}))
 	t.Cleanup(server.Close)
--- a/internal/claim/bucket.go
+++ b/internal/claim/bucket.go
@@ -12,7 +12,7 @@
 	key        string
 	primary    roster.Member
 	secondary  roster.Member
-	standing   roster.Standing
+	standing   roster.KeyState
 	lostAt     time.Time
 	loaded     bool
 	loading    bool
@@ -22,7 +22,7 @@
 
 // newBucket returns a bucket without replicas and entries.
 func newBucket(number int) *bucket {
-	return &bucket{number: number, key: BucketKey(number), standing: roster.Waiting, entries: make(map[ID]*entry)}
+	return &bucket{number: number, key: BucketKey(number), standing: roster.Pending, entries: make(map[ID]*entry)}
 }
 
 // entry is this process's in-memory state of one ID.
--- a/internal/claim/dump.go
+++ b/internal/claim/dump.go
@@ -59,7 +59,7 @@
 		s.LoadedBuckets++
 	}
 	switch b.standing {
-	case roster.Waiting:
+	case roster.Pending:
 		s.WaitingBuckets++
 	case roster.Lost:
 		s.LostBuckets++
--- a/internal/claim/membership.go
+++ b/internal/claim/membership.go
@@ -55,7 +55,7 @@
 func (r *Replica) updateStandings() {
 	r.acks[r.config.Self] = r.roster.Version
 	for _, b := range r.buckets {
-		b.standing = roster.Waiting
+		b.standing = roster.Pending
 		if b.primary.Identity == r.config.Self {
 			b.standing, b.lostAt = r.roster.Status(b.key, r.acks)
 		}
@@ -142,7 +142,7 @@
 // waits for acknowledgements.
 func (r *Replica) hasWaitingBucket() bool {
 	for _, b := range r.buckets {
-		if b.primary.Identity == r.config.Self && b.standing == roster.Waiting {
+		if b.primary.Identity == r.config.Self && b.standing == roster.Pending {
 			return true
 		}
 	}
@@ -170,7 +170,7 @@
 	return b.primary.Identity == r.config.Self &&
 		!b.loaded &&
 		!b.loading &&
-		b.standing != roster.Waiting &&
+		b.standing != roster.Pending &&
 		!now.Before(b.nextLoadAt)
 }
 
--- a/internal/claim/replica.go
+++ b/internal/claim/replica.go
@@ -210,7 +210,7 @@
 // refusalReason returns why the ID must not be claimed now, or ReasonNone.
 func (r *Replica) refusalReason(now time.Time, b *bucket, id ID) Reason {
 	switch b.standing {
-	case roster.Waiting:
+	case roster.Pending:
 		return ReasonNotSynced
 	case roster.Lost:
 		if now.Before(b.lostAt.Add(r.config.Retention)) && !createdAfter(id.Key, b.lostAt, now, r.config.MaxClockSkew) {
@@ -229,7 +229,7 @@
 	switch {
 	case reason == ReasonReplicasLost:
 		answer.RetryAt = b.lostAt.Add(r.config.Retention)
-	case b.loaded && b.standing != roster.Waiting && answer.Record.claimable(now):
+	case b.loaded && b.standing != roster.Pending && answer.Record.claimable(now):
 		answer.Outcome = OutcomeNotRun
 	}
 	r.sendAnswer(answer)
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -131,10 +131,10 @@
 	sent := a.sent.Load()
 	now := t.entry.now()
 	verdict := t.service.retry(now, retry.Attempt{
-		Number: t.attempts, Marked: !t.call.repeatable(), Sent: sent, Deadline: t.call.deadline,
+		Number: t.attempts, NotRepeatable: !t.call.repeatable(), Sent: sent, Deadline: t.call.deadline,
 	})
 	t.mayHaveRun = t.mayHaveRun || sent
-	again := verdict == retry.Again
+	again := verdict == retry.Allowed
 	if again && !sent {
 		// Nothing ran: slot and permit serve for the next attempt.
 		t.leave(a, now, route.Failed)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -98,7 +98,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if fresh {
-		s.budget.Fresh()
+		s.budget.RecordRequest()
 	}
 	endpoint, ok := s.picker.Pick(now, s.random, tried)
 	if ok {
--- a/internal/experiment/poolpolicy.go
+++ b/internal/experiment/poolpolicy.go
@@ -24,7 +24,7 @@
 func newPlannerPolicy(weights pool.Weights) func(*poolBench) poolPolicy {
 	return func(*poolBench) poolPolicy {
 		return plannerPolicy{pool.NewPlanner(pool.PlannerConfig{
-			Spare: sparePool, Weights: weights, Lag: observationLag, Patience: poolPatience,
+			Spare: sparePool, Weights: weights, Lag: observationLag, MaxWait: poolPatience,
 		})}
 	}
 }
@@ -36,8 +36,8 @@
 		first := newPlannerPolicy(weights)(before).(plannerPolicy)
 		before.run(first)
 		return plannerPolicy{pool.NewPlanner(pool.PlannerConfig{
-			Spare: sparePool, Weights: weights, Lag: observationLag, Patience: poolPatience,
-			Memory: first.planner.Memory(),
+			Spare: sparePool, Weights: weights, Lag: observationLag, MaxWait: poolPatience,
+			History: first.planner.History(),
 		})}
 	}
 }
--- a/internal/experiment/retrybench.go
+++ b/internal/experiment/retrybench.go
@@ -28,10 +28,10 @@
 // budgetPolicy is the product's retry.Budget.
 type budgetPolicy struct{ budget *retry.Budget }
 
-func (p budgetPolicy) fresh() { p.budget.Fresh() }
+func (p budgetPolicy) fresh() { p.budget.RecordRequest() }
 
 func (p budgetPolicy) allow(now time.Time, a retry.Attempt) bool {
-	return p.budget.Allow(now, a) == retry.Again
+	return p.budget.Allow(now, a) == retry.Allowed
 }
 
 // naivePolicy tries each request up to a number of times.
@@ -231,7 +231,7 @@
 		return
 	}
 	again := retry.Attempt{
-		Number: r.attempts, Marked: r.marked, Sent: true, Deadline: r.arrived.Add(b.requestTimeout()),
+		Number: r.attempts, NotRepeatable: r.marked, Sent: true, Deadline: r.arrived.Add(b.requestTimeout()),
 	}
 	if r.entry.policy.allow(b.now, again) {
 		b.attempt(r)
--- a/internal/experiment/wavebench.go
+++ b/internal/experiment/wavebench.go
@@ -74,7 +74,7 @@
 	fails      bool
 	assignment pool.Assignment
 	drainAt    time.Time
-	drains     *pool.Drains
+	drains     *pool.DrainTracker
 	senders    []*waveSender
 	backAt     time.Time
 	failedAt   time.Time
@@ -172,7 +172,7 @@
 func (b *waveBench) step(p *wavePool) {
 	view := p.view()
 	if !b.apart {
-		view.Elsewhere = b.elsewhere(p)
+		view.OtherPools = b.elsewhere(p)
 	}
 	serving := 0
 	for _, h := range view.Hosts {
@@ -198,7 +198,7 @@
 	if err != nil {
 		panic(err)
 	}
-	h.assignment, h.State, h.drainAt, h.drains = next, wave.StateDown, b.now, pool.NewDrains()
+	h.assignment, h.State, h.drainAt, h.drains = next, wave.StateDown, b.now, pool.NewDrainTracker()
 	h.senders = nil
 	for i := range b.deployment.Entries {
 		sender := &waveSender{
@@ -240,14 +240,14 @@
 		}
 		running += len(s.ends)
 	}
-	quiet := h.drains.Quiet(b.now, h.assignment, ids, nil, time.Minute)
+	quiet := h.drains.IsDrained(b.now, h.assignment, ids, nil, time.Minute)
 	if b.grace > 0 {
 		quiet = b.now.Sub(h.drainAt) >= b.grace
 	}
 	if !quiet {
 		return
 	}
-	next, err := pool.Settle(h.assignment)
+	next, err := pool.CompleteDrain(h.assignment)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/manager/handler.go
+++ b/internal/manager/handler.go
@@ -9,13 +9,13 @@
 // Handler returns the operators' API, for holders of the operator key.
 func (m *Manager) Handler(operatorKey []byte) http.Handler {
 	return operator.New(operator.Config{
-		Store:   m.node.Store(),
-		Author:  m,
-		Fleet:   m,
-		Hosts:   m,
-		Waves:   m,
-		Records: records{store: m.node.Store()},
-		Keys:    func() [][]byte { return [][]byte{operatorKey} },
-		Dump:    func() any { return m.Snapshot() },
+		Store:     m.node.Store(),
+		Committer: m,
+		Fleet:     m,
+		Hosts:     m,
+		Waves:     m,
+		Records:   records{store: m.node.Store()},
+		Keys:      func() [][]byte { return [][]byte{operatorKey} },
+		Dump:      func() any { return m.Snapshot() },
 	})
 }
--- a/internal/manager/hosts.go
+++ b/internal/manager/hosts.go
@@ -47,7 +47,7 @@
 
 // hostLoop completes drains.
 func (m *Manager) hostLoop(ctx context.Context) {
-	drains := pool.NewDrains()
+	drains := pool.NewDrainTracker()
 	ticker := time.NewTicker(hostInterval)
 	defer ticker.Stop()
 	for {
@@ -66,7 +66,7 @@
 }
 
 // tendHosts settles each drain that this manager leads and that is complete.
-func (m *Manager) tendHosts(ctx context.Context, drains *pool.Drains) error {
+func (m *Manager) tendHosts(ctx context.Context, drains *pool.DrainTracker) error {
 	rows, err := m.node.Store().Scan(ctx, pool.KeyPrefix)
 	if err != nil {
 		return errors.Wrap(err, "read the hosts' assignments")
@@ -98,7 +98,7 @@
 
 // settleHost commits the end of a drain if nothing runs at the host. The commit
 // rests on the roster's row, so that an entry that joined unseen is not missed.
-func (m *Manager) settleHost(ctx context.Context, drains *pool.Drains, row table.Row, current pool.Assignment, worker bool) error {
+func (m *Manager) settleHost(ctx context.Context, drains *pool.DrainTracker, row table.Row, current pool.Assignment, worker bool) error {
 	fences, ours := m.settles(row.Key, current, worker)
 	if !ours {
 		return nil
@@ -106,14 +106,14 @@
 	members, rowVersion := m.node.Roster()
 	senders, gone := entriesOf(members)
 	c := m.node.Configuration().View().State.Catalogue
-	if !drains.Quiet(time.Now(), current, senders, gone, longestOfAll(c)) {
+	if !drains.IsDrained(time.Now(), current, senders, gone, longestOfAll(c)) {
 		return nil
 	}
-	next, err := pool.Settle(current)
+	next, err := pool.CompleteDrain(current)
 	if err != nil {
 		return err
 	}
-	txn, err := pool.Change(row, next)
+	txn, err := pool.UpdateTxn(row, next)
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 			senders = append(senders, pool.Sender(member.Identity))
 		}
 	}
-	for _, departure := range members.Gone {
+	for _, departure := range members.Departures {
 		gone = append(gone, pool.Sender(departure.Identity))
 	}
 	return senders, gone
@@ -291,7 +291,7 @@
 		if err != nil || next == current {
 			return apiHost(listed, next), err
 		}
-		txn, err := pool.Change(rows[0], next)
+		txn, err := pool.UpdateTxn(rows[0], next)
 		if err != nil {
 			return api.Host{}, err
 		}
--- a/internal/manager/members.go
+++ b/internal/manager/members.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return m.dropAcks(ctx, members.Obsolete(acks))
+	return m.dropAcks(ctx, members.ObsoleteAcks(acks))
 }
 
 // dropAcks deletes the acknowledgements of processes that no generation of the
--- a/internal/manager/wave_changes.go
+++ b/internal/manager/wave_changes.go
@@ -19,7 +19,7 @@
 			current.Need = request.Need
 			return current, nil
 		}
-		return waveRow{Pool: request.Pool, Need: request.Need, Verdict: string(wave.Go)}, nil
+		return waveRow{Pool: request.Pool, Need: request.Need, Verdict: string(wave.Proceed)}, nil
 	})
 }
 
--- a/internal/manager/waves.go
+++ b/internal/manager/waves.go
@@ -149,7 +149,7 @@
 	next := current.clone()
 	now := time.Now()
 	view := w.observe(ctx, now, hosts, &next)
-	view.Elsewhere = elsewhere
+	view.OtherPools = elsewhere
 	decision := w.decide(now, view, next)
 	for _, name := range decision.Start {
 		next.Hosts[name] = waveHost{State: wave.StateDown, Boot: hosts[name].boot, DownAt: now}
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -59,7 +59,7 @@
 func (n *Node) requestFromMember(ctx context.Context, member roster.Member, ask limit.TransferRequest) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	reply, err := n.Dial(member).Ask(ctx, peer.AskMessage(ask))
+	reply, err := n.Dial(member).Ask(ctx, peer.TransferRequestMessage(ask))
 	if err != nil {
 		// Send no more requests until the peer reports its permits again. If it
 		// granted some, the next exchange repeats the transfer.
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -45,7 +45,7 @@
 
 // Ask grants permits to a peer.
 func (s *Service) Ask(_ context.Context, request *peerpb.AskRequest) (*peerpb.AskReply, error) {
-	ask := peer.Ask(request)
+	ask := peer.TransferRequest(request)
 	transfer, ok := s.node.ledger.HandleTransferRequest(ask)
 	if !ok && !s.node.ledger.IsMember(ask.Team, ask.From) {
 		// The team's row may list a new member that this process doesn't know yet.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -47,7 +47,7 @@
 var ErrNotFound = errors.New("no such record")
 
 // Author commits changes; see revision.Author.
-type Author interface {
+type Committer interface {
 	Commit(ctx context.Context, op revision.Operation, edit revision.Edit) (revision.Change, error)
 }
 
@@ -88,12 +88,12 @@
 
 // Config configures a handler.
 type Config struct {
-	Store   table.Store
-	Author  Author
-	Fleet   Fleet
-	Records Records
-	Hosts   Hosts
-	Waves   Waves
+	Store     table.Store
+	Committer Committer
+	Fleet     Fleet
+	Records   Records
+	Hosts     Hosts
+	Waves     Waves
 	// Keys returns the operator keys in force.
 	Keys func() [][]byte
 	// Dump returns the process's state, without secrets; optional.
@@ -168,7 +168,7 @@
 func (h *Handler) commit(ctx context.Context, op revision.Operation, edit revision.Edit) (revision.Change, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), commitTimeout)
 	defer cancel()
-	change, err := h.config.Author.Commit(ctx, op, edit)
+	change, err := h.config.Committer.Commit(ctx, op, edit)
 	if err == nil && !change.Empty() {
 		h.config.Fleet.Push(ctx, change)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -91,12 +91,12 @@
 			Guard:   func() []table.Condition { return nil },
 		})
 		server := httptest.NewServer(operator.New(operator.Config{
-			Store:   s.store,
-			Author:  author,
-			Fleet:   s.fleet,
-			Records: records{},
-			Keys:    func() [][]byte { return [][]byte{[]byte("another key"), []byte(operatorKey)} },
-			Dump:    func() any { return map[string]int{"revision": 1} },
+			Store:     s.store,
+			Committer: author,
+			Fleet:     s.fleet,
+			Records:   records{},
+			Keys:      func() [][]byte { return [][]byte{[]byte("another key"), []byte(operatorKey)} },
+			Dump:      func() any { return map[string]int{"revision": 1} },
 		}))
 		t.Cleanup(server.Close)
 		s.url = server.URL
--- a/internal/peer/limits.go
+++ b/internal/peer/limits.go
@@ -26,7 +26,7 @@
 }
 
 // AskMessage encodes a request for permits.
-func AskMessage(a limit.TransferRequest) *peerpb.AskRequest {
+func TransferRequestMessage(a limit.TransferRequest) *peerpb.AskRequest {
 	return &peerpb.AskRequest{
 		Team: a.Team, Generation: a.Generation,
 		From: string(a.From), To: string(a.To), Want: int32(a.Want), Holding: int32(a.Holding),
@@ -34,7 +34,7 @@
 }
 
 // Ask decodes a request for permits.
-func Ask(m *peerpb.AskRequest) limit.TransferRequest {
+func TransferRequest(m *peerpb.AskRequest) limit.TransferRequest {
 	return limit.TransferRequest{
 		Team: m.GetTeam(), Generation: m.GetGeneration(),
 		From: limit.Member(m.GetFrom()), To: limit.Member(m.GetTo()), Want: int(m.GetWant()), Holding: int(m.GetHolding()),
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -118,7 +118,7 @@
 		last := jobs[len(jobs)-1]
 		jobs = jobs[:len(jobs)-1]
 		used = used.Minus(last.actual)
-		placer.Report(now, last.demand.Task, last.actual)
+		placer.ReportUsage(now, last.demand.Task, last.actual)
 		placer.Release(now, last.demand.Task, place.Failed)
 		failed = append(failed, last)
 	}
@@ -126,7 +126,7 @@
 	for _, j := range jobs {
 		j.left -= speed
 		if now.Second()%2 == 0 { // Reports lag.
-			placer.Report(now, j.demand.Task, j.actual)
+			placer.ReportUsage(now, j.demand.Task, j.actual)
 		}
 		if j.left > 0 {
 			left = append(left, j)
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -222,7 +222,7 @@
 
 // Restore returns the throttled tasks for which there are processors again; they
 // count as running at full speed from now on.
-func (p *Placer) Restore(now time.Time) []string {
+func (p *Placer) Unthrottle(now time.Time) []string {
 	var restored []string
 	for _, name := range slices.Sorted(maps.Keys(p.throttled)) {
 		task := p.throttled[name]
@@ -240,7 +240,7 @@
 }
 
 // Expected is how long the declared time is expected to take on that queue.
-func (p *Placer) Expected(queue string, declared time.Duration) time.Duration {
+func (p *Placer) ExpectedRunTime(queue string, declared time.Duration) time.Duration {
 	if p.cfg.TrustDeclared {
 		return declared
 	}
--- a/internal/place/dump.go
+++ b/internal/place/dump.go
@@ -9,12 +9,12 @@
 // WorkerState is a worker as the dump shows it.
 type WorkerState struct {
 	Worker
-	Used       Size     `json:"used"`
-	Tasks      []string `json:"tasks"`
-	Leaving    bool     `json:"leaving"`
-	Silent     bool     `json:"silent"`
-	AsideUntil string   `json:"aside-until,omitempty"`
-	Hold       string   `json:"hold,omitempty"`
+	Used             Size     `json:"used"`
+	Tasks            []string `json:"tasks"`
+	Leaving          bool     `json:"leaving"`
+	Silent           bool     `json:"silent"`
+	QuarantinedUntil string   `json:"aside-until,omitempty"`
+	Reservation      string   `json:"hold,omitempty"`
 }
 
 // Dump returns the workers in name order.
@@ -26,14 +26,14 @@
 			Worker: w.Worker, Used: w.used, Leaving: w.leaving, Silent: w.silent, Tasks: []string{},
 		}
 		if w.hold != nil {
-			state.Hold = w.hold.task
+			state.Reservation = w.hold.task
 		}
 		for task := range w.tasks {
 			state.Tasks = append(state.Tasks, task)
 		}
 		slices.SortFunc(state.Tasks, strings.Compare)
 		if !w.health.asideUntil.IsZero() {
-			state.AsideUntil = w.health.asideUntil.Format(time.RFC3339)
+			state.QuarantinedUntil = w.health.asideUntil.Format(time.RFC3339)
 		}
 		states = append(states, state)
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -199,14 +199,14 @@
 
 // Silent says whether the worker has stopped answering; a silent worker gets
 // nothing new.
-func (p *Placer) Silent(name string, silent bool) {
+func (p *Placer) SetSilent(name string, silent bool) {
 	if known, ok := p.workers[name]; ok {
 		known.silent = silent
 	}
 }
 
 // Gone removes a worker once nothing is held there.
-func (p *Placer) Gone(name string) {
+func (p *Placer) Remove(name string) {
 	known, ok := p.workers[name]
 	if !ok {
 		return
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -59,8 +59,8 @@
 		"room":                   {workers: 1, demand: demand("a", place.Normal, 16, 64), want: place.Placed},
 		"full":                   {workers: 1, held: []place.Demand{demand("b", place.Normal, 10, 1)}, demand: demand("a", place.Normal, 10, 1), want: place.Waits},
 		"leaving":                {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.Leave("worker-0") }, want: place.Waits},
-		"silent":                 {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.Silent("worker-0", true) }, want: place.Waits},
-		"gone":                   {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.Gone("worker-0") }, want: place.Waits},
+		"silent":                 {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.SetSilent("worker-0", true) }, want: place.Waits},
+		"gone":                   {workers: 1, demand: demand("a", place.Normal, 1, 1), change: func(p *place.Placer) { p.Remove("worker-0") }, want: place.Waits},
 		"avoided everywhere":     {workers: 1, demand: place.Demand{Task: "a", Avoid: []string{"worker-0"}}, want: place.Exhausted},
 		"urgent throttles":       {workers: 1, held: []place.Demand{demand("b", place.Batch, 16, 1)}, demand: demand("a", place.Urgent, 10, 1), want: place.Placed, wantThrottle: 1},
 		"urgent checkpoints":     {workers: 1, held: []place.Demand{demand("b", place.Normal, 1, 60)}, demand: demand("a", place.Urgent, 1, 10), want: place.Preempts, wantCheckpoint: 1},
@@ -103,11 +103,11 @@
 		t.Fatalf("throttled: got %v, want %v", got, want)
 	}
 	later := start.Add(time.Minute)
-	if got := placer.Restore(later); len(got) != 0 {
+	if got := placer.Unthrottle(later); len(got) != 0 {
 		t.Errorf("restored under urgent work: got %v, want none", got)
 	}
 	placer.Release(later, "urgent", place.Succeeded)
-	if got, want := placer.Restore(later), []string{"slow"}; !slices.Equal(got, want) {
+	if got, want := placer.Unthrottle(later), []string{"slow"}; !slices.Equal(got, want) {
 		t.Errorf("restored: got %v, want %v", got, want)
 	}
 }
@@ -142,7 +142,7 @@
 	placer.Leave("worker-0")
 	placer.Choose(start, large)
 	states := placer.Dump()
-	if got, want := []string{states[0].Hold, states[1].Hold}, []string{"", "large"}; !slices.Equal(got, want) {
+	if got, want := []string{states[0].Reservation, states[1].Reservation}, []string{"", "large"}; !slices.Equal(got, want) {
 		t.Errorf("holds: got %q, want %q", got, want)
 	}
 }
@@ -165,7 +165,7 @@
 			for i := range 40 {
 				d := demand(fmt.Sprintf("task-%d", i), place.Normal, 1, 8)
 				put(t, placer, now, d)
-				placer.Report(now, d.Task, place.Size{CPUs: 1, Memory: tc.usage * gib})
+				placer.ReportUsage(now, d.Task, place.Size{CPUs: 1, Memory: tc.usage * gib})
 				now = now.Add(time.Minute)
 				placer.Release(now, d.Task, place.Succeeded)
 			}
@@ -226,7 +226,7 @@
 			t.Errorf("runs on bad workers: got %d, want at most %d", got, want)
 		}
 		for _, w := range c.placer.Dump() {
-			aside := w.AsideUntil != "" && w.AsideUntil > c.now.Format(time.RFC3339)
+			aside := w.QuarantinedUntil != "" && w.QuarantinedUntil > c.now.Format(time.RFC3339)
 			if aside && !c.isBad(w.Name) {
 				t.Errorf("good worker %s is set aside", w.Name)
 			}
@@ -246,7 +246,7 @@
 			if rapid.Bool().Draw(t, "release") && len(held) > 0 {
 				task := rapid.SampledFrom(sortedKeys(held)).Draw(t, "task")
 				placer.Release(now, task, rapid.SampledFrom([]place.Result{place.Succeeded, place.Ended}).Draw(t, "result"))
-				placer.Restore(now)
+				placer.Unthrottle(now)
 				delete(held, task)
 				continue
 			}
--- a/internal/place/placement.go
+++ b/internal/place/placement.go
@@ -47,7 +47,7 @@
 }
 
 // Report takes in the usage that a worker reported for a task.
-func (p *Placer) Report(now time.Time, task string, usage Size) {
+func (p *Placer) ReportUsage(now time.Time, task string, usage Size) {
 	known, ok := p.tasks[task]
 	if !ok || p.cfg.TrustDeclared {
 		return
--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -109,7 +109,7 @@
 
 // Settle returns the assignment of a draining host that runs nothing any more:
 // a moving host serves its target pool, one in maintenance is Drained.
-func Settle(a Assignment) (Assignment, error) {
+func CompleteDrain(a Assignment) (Assignment, error) {
 	if a.Phase != Draining {
 		return a, &PhaseError{Host: a.Host, Step: "settle", Phase: a.Phase}
 	}
@@ -140,7 +140,7 @@
 }
 
 // Change returns the transaction that replaces the row as read by next.
-func Change(row table.Row, next Assignment) (table.Txn, error) {
+func UpdateTxn(row table.Row, next Assignment) (table.Txn, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return table.Txn{}, errors.Wrapf(err, "encode row %q", row.Key)
--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -38,7 +38,7 @@
 	store = table.NewMemory()
 	for i := range hosts {
 		host := fmt.Sprintf("worker-%04d", i)
-		txn, err := pool.Change(table.Row{Key: pool.Key(host)}, pool.Assign(host, fmt.Sprintf("pool-%02d", i%27)))
+		txn, err := pool.UpdateTxn(table.Row{Key: pool.Key(host)}, pool.Assign(host, fmt.Sprintf("pool-%02d", i%27)))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/pool/drain.go
+++ b/internal/pool/drain.go
@@ -18,22 +18,22 @@
 
 // Drains collects what is needed to call a host's drain complete. It is not
 // safe for concurrent use.
-type Drains struct {
+type DrainTracker struct {
 	confirmed map[string]map[Sender]Confirmation
 	// goneSince is when a sender was first known to have ended.
 	goneSince map[Sender]time.Time
 }
 
 // NewDrains returns a collection without confirmations.
-func NewDrains() *Drains {
-	return &Drains{
+func NewDrainTracker() *DrainTracker {
+	return &DrainTracker{
 		confirmed: make(map[string]map[Sender]Confirmation),
 		goneSince: make(map[Sender]time.Time),
 	}
 }
 
 // Confirm takes a sender's word on a host; older epochs change nothing.
-func (d *Drains) Confirm(host string, sender Sender, c Confirmation) {
+func (d *DrainTracker) Confirm(host string, sender Sender, c Confirmation) {
 	bySender, ok := d.confirmed[host]
 	if !ok {
 		bySender = make(map[Sender]Confirmation)
@@ -49,7 +49,7 @@
 // sent there: each of the senders has confirmed the drain's epoch with nothing
 // in flight. A sender that the roster dropped may have left work behind, which
 // ends within the longest run.
-func (d *Drains) Quiet(now time.Time, a Assignment, senders, gone []Sender, longestRun time.Duration) bool {
+func (d *DrainTracker) IsDrained(now time.Time, a Assignment, senders, gone []Sender, longestRun time.Duration) bool {
 	for _, sender := range senders {
 		c, ok := d.confirmed[a.Host][sender]
 		if !ok || c.Epoch < a.Epoch || c.InFlight > 0 {
@@ -69,4 +69,4 @@
 }
 
 // Forget drops what was collected on a host whose drain has ended.
-func (d *Drains) Forget(host string) { delete(d.confirmed, host) }
+func (d *DrainTracker) Forget(host string) { delete(d.confirmed, host) }
--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			return
 		}
-		txn, err := pool.Change(table.Row{Key: "pool/host/h", Version: 1}, want)
+		txn, err := pool.UpdateTxn(table.Row{Key: "pool/host/h", Version: 1}, want)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 			t.Errorf("got %+v, %v, want %+v", got, err, want)
 		}
 		drained, drainErr := pool.Drain(want, pool.Move, "b")
-		settled, settleErr := pool.Settle(want)
+		settled, settleErr := pool.CompleteDrain(want)
 		returned, returnErr := pool.Return(want)
 		steps := map[string]struct {
 			next pool.Assignment
--- a/internal/pool/memory.go
+++ b/internal/pool/memory.go
@@ -9,12 +9,12 @@
 
 // Memory is what a planner has learnt of the bursts. It lets another planner
 // go on where this one ended; a row of the table can hold it.
-type Memory struct {
-	Pools map[string]Learnt `json:"pools"`
+type History struct {
+	Pools map[string]BurstStats `json:"pools"`
 }
 
 // Learnt is what is known of one pool.
-type Learnt struct {
+type BurstStats struct {
 	MeanLoad float64         `json:"mean-load"`
 	Levels   []float64       `json:"levels,omitempty"`
 	Lengths  []duration.Text `json:"lengths,omitempty"`
@@ -29,10 +29,10 @@
 }
 
 // Memory returns what the planner has learnt so far.
-func (p *Planner) Memory() Memory {
-	m := Memory{Pools: make(map[string]Learnt)}
+func (p *Planner) History() History {
+	m := History{Pools: make(map[string]BurstStats)}
 	for name, b := range p.rhythm.byPool {
-		pm := Learnt{MeanLoad: b.mean, Levels: slices.Clone(b.levels)}
+		pm := BurstStats{MeanLoad: b.mean, Levels: slices.Clone(b.levels)}
 		for _, length := range b.lengths {
 			pm.Lengths = append(pm.Lengths, duration.New(length))
 		}
@@ -45,7 +45,7 @@
 }
 
 // recall fills a rhythm with a memory; what makes no sense in it is left out.
-func (r *rhythm) recall(m Memory) {
+func (r *rhythm) recall(m History) {
 	for name, pm := range m.Pools {
 		b := &bursts{mean: sane(pm.MeanLoad)}
 		for _, level := range pm.Levels {
--- a/internal/pool/planner.go
+++ b/internal/pool/planner.go
@@ -32,7 +32,7 @@
 }
 
 // Standing is how the planner sees a pool, for dumps.
-type Standing struct {
+type Status struct {
 	Name     string `json:"name"`
 	Serving  int    `json:"serving"`
 	Incoming int    `json:"incoming"`
@@ -47,7 +47,7 @@
 // Plan is the outcome of one step.
 type Plan struct {
 	Moves []PlannedMove `json:"moves,omitempty"`
-	Pools []Standing    `json:"pools"`
+	Pools []Status      `json:"pools"`
 	// Stale means that the loads were too old to act upon: only moves for
 	// minimums start.
 	Stale bool `json:"stale,omitempty"`
@@ -86,8 +86,8 @@
 	DefaultUtilisation = 0.9
 	DefaultLag         = time.Second
 	DefaultStaleAfter  = 10 * time.Second
-	DefaultFirstBurst  = 15 * time.Second
-	DefaultPatience    = time.Second
+	DefaultBurstLength = 15 * time.Second
+	DefaultMaxWait     = time.Second
 )
 
 // PlannerConfig constructs a Planner; zero values take the defaults.
@@ -102,12 +102,12 @@
 	// StaleAfter is the age of loads that are no longer acted upon.
 	StaleAfter time.Duration
 	// FirstBurst is the length that is assumed of bursts before one was seen.
-	FirstBurst time.Duration
+	BurstLength time.Duration
 	// Patience is how long work may wait before it is late. It lets a pool with
 	// fewer hosts than the load asks for carry a short burst.
-	Patience time.Duration
+	MaxWait time.Duration
 	// Memory is what an earlier planner has learnt, empty for none.
-	Memory Memory
+	History History
 }
 
 // Planner decides which hosts to move between pools and the spare pool. Each
@@ -132,13 +132,13 @@
 	config.Utilisation = cmp.Or(config.Utilisation, DefaultUtilisation)
 	config.Lag = cmp.Or(config.Lag, DefaultLag)
 	config.StaleAfter = cmp.Or(config.StaleAfter, DefaultStaleAfter)
-	config.FirstBurst = cmp.Or(config.FirstBurst, DefaultFirstBurst)
-	config.Patience = cmp.Or(config.Patience, DefaultPatience)
+	config.BurstLength = cmp.Or(config.BurstLength, DefaultBurstLength)
+	config.MaxWait = cmp.Or(config.MaxWait, DefaultMaxWait)
 	p := &Planner{
 		config: config, weights: config.Weights.normal(),
 		rhythm: newRhythm(), needed: make(map[string][]neededAt),
 	}
-	p.rhythm.recall(config.Memory)
+	p.rhythm.recall(config.History)
 	return p
 }
 
--- a/internal/pool/planner_test.go
+++ b/internal/pool/planner_test.go
@@ -259,12 +259,12 @@
 	if later > first/3 {
 		t.Errorf("late work once the order is known: got %.0f, want at most a third of %.0f", later, first)
 	}
-	text, err := json.Marshal(f.planner.Memory())
+	text, err := json.Marshal(f.planner.History())
 	if err != nil {
 		t.Fatal(err)
 	}
 	config := pool.PlannerConfig{Spare: "spare"}
-	if err := json.Unmarshal(text, &config.Memory); err != nil {
+	if err := json.Unmarshal(text, &config.History); err != nil {
 		t.Fatal(err)
 	}
 	heir := newFleet(pool.Weights{}, 4, 8, 8)
--- a/internal/pool/step.go
+++ b/internal/pool/step.go
@@ -190,7 +190,7 @@
 func (s *step) describe() {
 	for _, pool := range s.view.Pools {
 		m := s.members[pool.Name]
-		entry := Standing{
+		entry := Status{
 			Name: pool.Name, Serving: len(m.serving), Incoming: m.incoming, Need: s.needs[pool.Name],
 			Short: m.survivors("")+m.incoming < pool.Minimum,
 		}
@@ -202,5 +202,5 @@
 		}
 		s.plan.Pools = append(s.plan.Pools, entry)
 	}
-	slices.SortFunc(s.plan.Pools, func(a, b Standing) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.plan.Pools, func(a, b Status) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/pool/value.go
+++ b/internal/pool/value.go
@@ -22,7 +22,7 @@
 	excess := pool.Load - hosts*s.planner.config.Utilisation
 	remaining := s.remaining(pool.Name, excess)
 	waiting := pool.Backlog.Seconds() + excess*remaining.Seconds()
-	late := waiting - hosts*s.planner.config.Patience.Seconds()
+	late := waiting - hosts*s.planner.config.MaxWait.Seconds()
 	if late <= 0 {
 		return 0
 	}
@@ -41,10 +41,10 @@
 		return 0
 	}
 	if !b.bursting {
-		return s.planner.config.FirstBurst
+		return s.planner.config.BurstLength
 	}
 	elapsed := s.now.Sub(b.began.Add(-s.planner.config.Lag))
-	return max(s.view.MoveTime, b.length(s.planner.config.FirstBurst)-elapsed)
+	return max(s.view.MoveTime, b.length(s.planner.config.BurstLength)-elapsed)
 }
 
 // expected is how many seconds one more host would be of use to the burst that
@@ -60,7 +60,7 @@
 		return 0
 	}
 	useful := f.Ends.Sub(later(arrival, f.Begins)).Seconds()
-	slack := 1 + s.planner.config.Patience.Seconds()/max(1, f.Ends.Sub(f.Begins).Seconds())
+	slack := 1 + s.planner.config.MaxWait.Seconds()/max(1, f.Ends.Sub(f.Begins).Seconds())
 	level := float64(s.members[name].count()) * s.planner.config.Utilisation * slack
 	return max(0, useful) * f.Confidence * b.reaches(level)
 }
--- a/internal/pool/world_test.go
+++ b/internal/pool/world_test.go
@@ -63,7 +63,7 @@
 
 // manager acts on rows that it read some time ago.
 type manager struct {
-	drains  *pool.Drains
+	drains  *pool.DrainTracker
 	row     table.Row
 	roster  table.Row
 	members []pool.Sender
@@ -84,7 +84,7 @@
 		w.join()
 	}
 	for range 2 {
-		w.managers = append(w.managers, &manager{drains: pool.NewDrains()})
+		w.managers = append(w.managers, &manager{drains: pool.NewDrainTracker()})
 	}
 	return w
 }
@@ -188,13 +188,13 @@
 		if !w.quiet(m, current) {
 			return
 		}
-		next, err = pool.Settle(current)
+		next, err = pool.CompleteDrain(current)
 		w.counts["moves"]++
 	}
 	if err != nil {
 		panic(err)
 	}
-	txn, err := pool.Change(m.row, next)
+	txn, err := pool.UpdateTxn(m.row, next)
 	if err != nil {
 		panic(err)
 	}
@@ -220,7 +220,7 @@
 	if !w.rules.longestRun {
 		wait = 0
 	}
-	return m.drains.Quiet(w.now, current, m.members, m.gone, wait)
+	return m.drains.IsDrained(w.now, current, m.members, m.gone, wait)
 }
 
 func (w *world) duration(limit time.Duration) time.Duration {
--- a/internal/process/feeds.go
+++ b/internal/process/feeds.go
@@ -139,7 +139,7 @@
 func (n *frontNode) operatorFeed(ctx context.Context) {
 	version, known := uint64(0), false
 	for ctx.Err() == nil {
-		var rows platform.OperatorNews
+		var rows platform.OperatorUpdate
 		var err error
 		if known {
 			rows, version, err = n.operator.Changes(ctx, version, operatorFeedTimeout)
@@ -160,7 +160,7 @@
 }
 
 // applyOperatorRows applies changed operators' rows.
-func (n *frontNode) applyOperatorRows(rows platform.OperatorNews) {
+func (n *frontNode) applyOperatorRows(rows platform.OperatorUpdate) {
 	n.holder.Update(rows.Policy, policy.SourceStore)
 	for _, wave := range rows.Waves {
 		n.control.SetWave(wave)
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -92,8 +92,8 @@
 	debug.SetMemoryLimit(int64(float64(config.Settings.MemoryMiB) * heapLimitShare * (1 << 20)))
 	n := newFrontNode(config)
 	n.journal.Info("start", "data-centre", n.settings.DataCentre, "callers", n.settings.Callers.String(),
-		"peers", n.settings.Peers.String(), "first-start", n.settings.FirstStart)
-	if n.settings.OrdersWithReports {
+		"peers", n.settings.Peers.String(), "first-start", n.settings.Bootstrap)
+	if n.settings.OrdersByHeartbeat {
 		n.journal.Info("orders are sent by calls", "setting", "heartbeat", "why", "the platform's pages show no form for orders in answers to reports")
 	}
 	return n.run(ctx)
@@ -102,7 +102,7 @@
 // newFrontNode creates the node's parts and connects them.
 func newFrontNode(config NodeConfig) *frontNode {
 	settings := config.Settings
-	client := platform.NewClient(platform.ClientConfig{Silence: ackTimeout, Dial: connectTimeout})
+	client := platform.NewClient(platform.ClientConfig{AckTimeout: ackTimeout, DialTimeout: connectTimeout})
 	n := &frontNode{
 		config: config, settings: settings, journal: config.Journal, policyUpdates: make(chan uint64, 1),
 		hints: make(chan hint, hintQueueSize),
@@ -111,10 +111,10 @@
 	unreadable := func(key string, err error) {
 		n.journal.Info("row cannot be decoded", "key", key, "error", err.Error())
 	}
-	n.operator = platform.OperatorRows{Store: n.store, Unreadable: unreadable}
+	n.operator = platform.OperatorRows{Store: n.store, OnDecodeError: unreadable}
 	n.holder = policy.NewHolder(policy.HolderConfig{Decode: platform.DecodePolicy, OnChange: n.policyChanged, Journal: n.journal})
 	n.member = member.New(member.Config{
-		Name: settings.Name, Address: settings.Peers, Processor: settings.Processor, Seeds: settings.Seeds, Store: n.store, Journal: n.journal,
+		Name: settings.Name, Address: settings.Peers, Processor: settings.CPUCores, Seeds: settings.Seeds, Store: n.store, Journal: n.journal,
 		Won:              func(ctx context.Context, won memberClaim, version uint64) { n.control.Lead(ctx, won, version) },
 		PolicyVersion:    n.holder.Version,
 		MaxHostResources: func() policy.Resources { return n.control.MaxHostResources() },
@@ -126,7 +126,7 @@
 	n.control = control.New(control.Config{
 		Store: n.member.Store(), Feed: n.store,
 		Endpoints:    platform.NewEndpoints(platform.EndpointsConfig{Client: client, Timeout: endpointTimeout}),
-		EndpointList: platform.EndpointList{Store: n.store, Unreadable: unreadable},
+		EndpointList: platform.EndpointList{Store: n.store, OnDecodeError: unreadable},
 		Hosts: platform.NewHosts(platform.HostsConfig{
 			Client: client, Address: settings.Hosts, Holder: settings.Name, Timeout: hostTimeout,
 		}),
@@ -135,7 +135,7 @@
 	})
 	n.ingress = ingress.New(ingress.Config{
 		Policy: n.holder, Store: n.member.Store(), Fleet: member.NewFleetClient(n.member, n.control),
-		Codec: platform.Form{}, Journal: n.journal, RowBytes: settings.CellBytes,
+		Codec: platform.Codec{}, Journal: n.journal, RowBytes: settings.RowBytes,
 	})
 	return n
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -27,15 +27,15 @@
 
 // The verdicts. All but Again end the request.
 const (
-	Again Verdict = iota
+	Allowed Verdict = iota
 	// MayHaveRun forbids a second attempt of a marked request.
 	MayHaveRun
 	// TooLate means that the deadline leaves no time for another attempt.
 	TooLate
 	// TooMany means that the request has used its attempts.
-	TooMany
+	TooManyAttempts
 	// Exhausted means that the service has used its budget.
-	Exhausted
+	BudgetExhausted
 )
 
 // String returns the verdict's name in logs and metrics.
@@ -52,7 +52,7 @@
 	// Number counts the request's attempts so far, from 1.
 	Number int
 	// Marked means that the request must not be repeated.
-	Marked bool
+	NotRepeatable bool
 	// Sent means that its first byte may have gone out.
 	Sent bool
 	// Deadline is the request's.
@@ -68,15 +68,15 @@
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
 	// MinTime is the least time before the deadline that an attempt needs.
-	MinTime time.Duration
+	MinAttemptTime time.Duration
 }
 
 // Defaults of Config.
 const (
-	DefaultRatio       = 0.1
-	DefaultBurst       = 10
-	DefaultMaxAttempts = 3
-	DefaultMinTime     = 10 * time.Millisecond
+	DefaultRatio          = 0.1
+	DefaultBurst          = 10
+	DefaultMaxAttempts    = 3
+	DefaultMinAttemptTime = 10 * time.Millisecond
 )
 
 // Budget is a token bucket that fresh requests fill and retries empty.
@@ -93,45 +93,45 @@
 	cfg.Ratio = cmp.Or(cfg.Ratio, DefaultRatio)
 	cfg.Burst = cmp.Or(cfg.Burst, DefaultBurst)
 	cfg.MaxAttempts = cmp.Or(cfg.MaxAttempts, DefaultMaxAttempts)
-	cfg.MinTime = cmp.Or(cfg.MinTime, DefaultMinTime)
+	cfg.MinAttemptTime = cmp.Or(cfg.MinAttemptTime, DefaultMinAttemptTime)
 	return &Budget{cfg: cfg, tokens: cfg.Burst}
 }
 
 // Fresh counts a request's first attempt.
-func (b *Budget) Fresh() {
+func (b *Budget) RecordRequest() {
 	b.fresh++
 	b.tokens = min(b.tokens+b.cfg.Ratio, b.cfg.Burst)
 }
 
 // Allow decides on another attempt, and spends a token for it.
 func (b *Budget) Allow(now time.Time, a Attempt) Verdict {
-	if a.Marked && a.Sent {
+	if a.NotRepeatable && a.Sent {
 		return MayHaveRun
 	}
 	if a.Number >= b.cfg.MaxAttempts {
-		return TooMany
+		return TooManyAttempts
 	}
-	if now.Add(b.cfg.MinTime).After(a.Deadline) {
+	if now.Add(b.cfg.MinAttemptTime).After(a.Deadline) {
 		return TooLate
 	}
 	if b.tokens < 1 {
 		b.denied++
-		return Exhausted
+		return BudgetExhausted
 	}
 	b.tokens--
 	b.spent++
-	return Again
+	return Allowed
 }
 
 // State is the budget's part of a dump.
 type State struct {
-	Tokens float64 `json:"tokens"`
-	Fresh  uint64  `json:"fresh"`
-	Spent  uint64  `json:"retries"`
-	Denied uint64  `json:"denied"`
+	Tokens   float64 `json:"tokens"`
+	Requests uint64  `json:"fresh"`
+	Retries  uint64  `json:"retries"`
+	Denied   uint64  `json:"denied"`
 }
 
 // State reports the bucket and the counts since the start.
 func (b *Budget) State() State {
-	return State{Tokens: b.tokens, Fresh: b.fresh, Spent: b.spent, Denied: b.denied}
+	return State{Tokens: b.tokens, Requests: b.fresh, Retries: b.spent, Denied: b.denied}
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -15,11 +15,11 @@
 		attempt Attempt
 		want    Verdict
 	}{
-		"unmarked":             {Attempt{Number: 1, Sent: true, Deadline: soon}, Again},
-		"marked, nothing sent": {Attempt{Number: 1, Marked: true, Deadline: soon}, Again},
-		"marked and sent":      {Attempt{Number: 1, Marked: true, Sent: true, Deadline: soon}, MayHaveRun},
+		"unmarked":             {Attempt{Number: 1, Sent: true, Deadline: soon}, Allowed},
+		"marked, nothing sent": {Attempt{Number: 1, NotRepeatable: true, Deadline: soon}, Allowed},
+		"marked and sent":      {Attempt{Number: 1, NotRepeatable: true, Sent: true, Deadline: soon}, MayHaveRun},
 		"past the deadline":    {Attempt{Number: 1, Deadline: epoch}, TooLate},
-		"third attempt failed": {Attempt{Number: 3, Deadline: soon}, TooMany},
+		"third attempt failed": {Attempt{Number: 3, Deadline: soon}, TooManyAttempts},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := New(Config{}).Allow(epoch, tc.attempt); got != tc.want {
@@ -39,21 +39,21 @@
 		fresh, retries := 0.0, 0.0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "fresh") {
-				b.Fresh()
+				b.RecordRequest()
 				fresh++
 				continue
 			}
 			attempt := Attempt{
-				Number:   rapid.IntRange(1, 3).Draw(t, "number"),
-				Marked:   rapid.Bool().Draw(t, "marked"),
-				Sent:     rapid.Bool().Draw(t, "sent"),
-				Deadline: epoch.Add(time.Duration(rapid.IntRange(-5, 50).Draw(t, "left")) * time.Millisecond),
+				Number:        rapid.IntRange(1, 3).Draw(t, "number"),
+				NotRepeatable: rapid.Bool().Draw(t, "marked"),
+				Sent:          rapid.Bool().Draw(t, "sent"),
+				Deadline:      epoch.Add(time.Duration(rapid.IntRange(-5, 50).Draw(t, "left")) * time.Millisecond),
 			}
-			if b.Allow(epoch, attempt) != Again {
+			if b.Allow(epoch, attempt) != Allowed {
 				continue
 			}
 			retries++
-			if attempt.Marked && attempt.Sent || !attempt.Deadline.After(epoch) {
+			if attempt.NotRepeatable && attempt.Sent || !attempt.Deadline.After(epoch) {
 				t.Fatalf("got another attempt after %+v", attempt)
 			}
 		}
--- a/internal/roster/change.go
+++ b/internal/roster/change.go
@@ -78,17 +78,17 @@
 	next = r
 	next.Past = nil
 	for _, generation := range r.Past {
-		if !generation.closed(keys, acks, r.Gone, now.Add(-retention)) {
+		if !generation.closed(keys, acks, r.Departures, now.Add(-retention)) {
 			next.Past = append(next.Past, generation)
 		}
 	}
-	next.Gone = nil
-	for _, departure := range r.Gone {
+	next.Departures = nil
+	for _, departure := range r.Departures {
 		if mentions(next.Past, departure.Identity) {
-			next.Gone = append(next.Gone, departure)
+			next.Departures = append(next.Departures, departure)
 		}
 	}
-	return next, len(next.Past) != len(r.Past) || len(next.Gone) != len(r.Gone)
+	return next, len(next.Past) != len(r.Past) || len(next.Departures) != len(r.Departures)
 }
 
 // advance returns the next version with the members and the departures added.
@@ -96,7 +96,7 @@
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	next := Roster{Version: r.Version + 1, Members: members}
 	next.Past = slices.Clone(r.Past)
-	next.Gone = append(slices.Clone(r.Gone), gone...)
+	next.Departures = append(slices.Clone(r.Departures), gone...)
 	if active := r.Active(); len(active) > 0 && !slices.Equal(active, next.Active()) {
 		next.Past = append(next.Past, Generation{Version: r.Version, Active: active})
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -108,10 +108,10 @@
 // Roster is the value of the row. Gone lists the members of former
 // generations that are proven to have ended.
 type Roster struct {
-	Version uint64       `json:"version"`
-	Members []Member     `json:"members"`
-	Past    []Generation `json:"past,omitempty"`
-	Gone    []Departure  `json:"gone,omitempty"`
+	Version    uint64       `json:"version"`
+	Members    []Member     `json:"members"`
+	Past       []Generation `json:"past,omitempty"`
+	Departures []Departure  `json:"gone,omitempty"`
 }
 
 // Decode reads the row's value. An empty value is a roster without members.
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -86,7 +86,7 @@
 			if next.Version != wantVersion {
 				t.Errorf("version: got %d, want %d", next.Version, wantVersion)
 			}
-			if got := len(next.Gone); got != tc.gone {
+			if got := len(next.Departures); got != tc.gone {
 				t.Errorf("departures: got %d, want %d", got, tc.gone)
 			}
 		})
@@ -107,19 +107,19 @@
 	tests := map[string]struct {
 		now  roster.Roster
 		acks roster.Acks
-		want roster.Standing
+		want roster.KeyState
 	}{
-		"home left, nothing acknowledged":            {now: left, want: roster.Waiting},
-		"home is cut off, second acknowledged":       {now: left, acks: roster.Acks{entry("b", 1).Identity: version + 1}, want: roster.Waiting},
-		"home acknowledged":                          {now: left, acks: roster.Acks{entry("a", 1).Identity: version + 1}, want: roster.Settled},
-		"home acknowledged the former version":       {now: left, acks: roster.Acks{entry("a", 1).Identity: version}, want: roster.Waiting},
-		"home gone, second has not flushed":          {now: gone(before, "a"), want: roster.Waiting},
-		"home gone, second acknowledged":             {now: gone(before, "a"), acks: roster.Acks{entry("b", 1).Identity: version + 1}, want: roster.Settled},
+		"home left, nothing acknowledged":            {now: left, want: roster.Pending},
+		"home is cut off, second acknowledged":       {now: left, acks: roster.Acks{entry("b", 1).Identity: version + 1}, want: roster.Pending},
+		"home acknowledged":                          {now: left, acks: roster.Acks{entry("a", 1).Identity: version + 1}, want: roster.Reconciled},
+		"home acknowledged the former version":       {now: left, acks: roster.Acks{entry("a", 1).Identity: version}, want: roster.Pending},
+		"home gone, second has not flushed":          {now: gone(before, "a"), want: roster.Pending},
+		"home gone, second acknowledged":             {now: gone(before, "a"), acks: roster.Acks{entry("b", 1).Identity: version + 1}, want: roster.Reconciled},
 		"both gone":                                  {now: gone(before, "a", "b"), acks: roster.Acks{entry("c", 1).Identity: version + 2}, want: roster.Lost},
-		"both gone, the next second has not flushed": {now: gone(before, "a", "b"), want: roster.Waiting},
-		"both gone, second acknowledged in time":     {now: gone(before, "a", "b"), acks: roster.Acks{entry("b", 1).Identity: version + 2, entry("c", 1).Identity: version + 2}, want: roster.Settled},
-		"second gone, home acknowledged":             {now: gone(before, "b"), acks: roster.Acks{entry("a", 1).Identity: version + 1}, want: roster.Settled},
-		"home of a later generation acknowledged":    {now: gone(before, "a"), acks: roster.Acks{entry("c", 1).Identity: version + 1}, want: roster.Waiting},
+		"both gone, the next second has not flushed": {now: gone(before, "a", "b"), want: roster.Pending},
+		"both gone, second acknowledged in time":     {now: gone(before, "a", "b"), acks: roster.Acks{entry("b", 1).Identity: version + 2, entry("c", 1).Identity: version + 2}, want: roster.Reconciled},
+		"second gone, home acknowledged":             {now: gone(before, "b"), acks: roster.Acks{entry("a", 1).Identity: version + 1}, want: roster.Reconciled},
+		"home of a later generation acknowledged":    {now: gone(before, "a"), acks: roster.Acks{entry("c", 1).Identity: version + 1}, want: roster.Pending},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -138,7 +138,7 @@
 func TestObsolete(t *testing.T) {
 	r, _ := roster.Join(joined("a", "b"), entry("a", 2), epoch)
 	acks := roster.Acks{entry("a", 1).Identity: 2, entry("a", 2).Identity: 3, entry("b", 1).Identity: 3, entry("c", 1).Identity: 1}
-	if got := fmt.Sprint(r.Obsolete(acks)); got != "[c/1]" {
+	if got := fmt.Sprint(r.ObsoleteAcks(acks)); got != "[c/1]" {
 		t.Errorf("got %s, want [c/1]: a/1 is part of a former generation", got)
 	}
 }
--- a/internal/roster/status.go
+++ b/internal/roster/status.go
@@ -47,7 +47,7 @@
 
 // Obsolete returns the identities whose acknowledgement rows can be deleted:
 // they are neither members nor part of a former generation.
-func (r Roster) Obsolete(acks Acks) []Identity {
+func (r Roster) ObsoleteAcks(acks Acks) []Identity {
 	var obsolete []Identity
 	for id := range acks {
 		if !r.Contains(id) && !mentions(r.Past, id) {
@@ -59,14 +59,14 @@
 }
 
 // Standing tells whether the present home of a key may act on it.
-type Standing int
+type KeyState int
 
 // Standings of a key.
 const (
 	// Settled: all that former homes granted is in the table.
-	Settled Standing = iota
+	Reconciled KeyState = iota
 	// Waiting: a former home may still act, or its grants are not flushed.
-	Waiting
+	Pending
 	// Lost: home and second of a former generation both ended unflushed.
 	Lost
 )
@@ -75,11 +75,11 @@
 // Lost. A former generation is settled by its home's acknowledgement, or by its
 // second's once the home is proven gone. A home that is merely cut off keeps
 // the key waiting: it could still answer for it.
-func (r Roster) Status(key string, acks Acks) (standing Standing, lostAt time.Time) {
+func (r Roster) Status(key string, acks Acks) (standing KeyState, lostAt time.Time) {
 	for _, generation := range r.Past {
-		state, at := generation.status(key, acks, r.Gone)
-		if state == Waiting {
-			return Waiting, time.Time{}
+		state, at := generation.status(key, acks, r.Departures)
+		if state == Pending {
+			return Pending, time.Time{}
 		}
 		if state == Lost && !at.Before(lostAt) {
 			standing = Lost
@@ -90,22 +90,22 @@
 }
 
 // status returns the standing of key with regard to this generation.
-func (g Generation) status(key string, acks Acks, gone []Departure) (Standing, time.Time) {
+func (g Generation) status(key string, acks Acks, gone []Departure) (KeyState, time.Time) {
 	home, second := g.Pair(key)
 	if acks[home.Identity] > g.Version {
-		return Settled, time.Time{}
+		return Reconciled, time.Time{}
 	}
 	homeAt, homeGone := departed(gone, home.Identity)
 	if !homeGone {
-		return Waiting, time.Time{}
+		return Pending, time.Time{}
 	}
 	// Without a second nothing can have been granted outside the table.
 	if second.Name == "" || acks[second.Identity] > g.Version {
-		return Settled, time.Time{}
+		return Reconciled, time.Time{}
 	}
 	secondAt, secondGone := departed(gone, second.Identity)
 	if !secondGone {
-		return Waiting, time.Time{}
+		return Pending, time.Time{}
 	}
 	if secondAt.After(homeAt) {
 		return Lost, secondAt
@@ -117,7 +117,7 @@
 func (g Generation) closed(keys []string, acks Acks, gone []Departure, limit time.Time) bool {
 	for _, key := range keys {
 		standing, at := g.status(key, acks, gone)
-		if standing == Waiting {
+		if standing == Pending {
 			return false
 		}
 		if standing == Lost && at.After(limit) {
--- a/internal/share/state.go
+++ b/internal/share/state.go
@@ -15,8 +15,8 @@
 
 // PeerState tells when a peer was last heard.
 type PeerState struct {
-	Entry string    `json:"entry"`
-	Heard time.Time `json:"heard"`
+	Entry   string    `json:"entry"`
+	HeardAt time.Time `json:"heard"`
 }
 
 // FlowState is one flow at this entry.
@@ -41,7 +41,7 @@
 		Debt:     s.debt,
 	}
 	for _, p := range s.peers {
-		out.Peers = append(out.Peers, PeerState{Entry: p.demand.Entry, Heard: p.heard})
+		out.Peers = append(out.Peers, PeerState{Entry: p.demand.Entry, HeardAt: p.heard})
 	}
 	for i, f := range s.flows {
 		out.Flows = append(out.Flows, FlowState{
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,34 +13,34 @@
 // The kinds of harm. Those of a link concern the connections of one node to the
 // store, or of all nodes to one endpoint.
 const (
-	Kill            Kind = "kill"
-	Pause           Kind = "pause"
-	Stop            Kind = "stop"
-	KillAll         Kind = "kill-all"
-	StoreDelayed    Kind = "store-delayed"
-	StoreReset      Kind = "store-reset"
-	StoreOneWay     Kind = "store-one-way"
-	StoreSilent     Kind = "store-silent"
-	StoreAway       Kind = "store-away"
-	StoreLoses      Kind = "store-loses-answers"
-	StoreForgets    Kind = "store-forgets"
-	EndpointDelayed Kind = "endpoint-delayed"
-	EndpointReset   Kind = "endpoint-reset"
-	EndpointOneWay  Kind = "endpoint-one-way"
-	EndpointSilent  Kind = "endpoint-silent"
-	EndpointCrash   Kind = "endpoint-crash"
+	Kill                Kind = "kill"
+	Pause               Kind = "pause"
+	Stop                Kind = "stop"
+	KillAll             Kind = "kill-all"
+	StoreDelayed        Kind = "store-delayed"
+	StoreReset          Kind = "store-reset"
+	StoreOneWay         Kind = "store-one-way"
+	StoreSilent         Kind = "store-silent"
+	StoreUnavailable    Kind = "store-away"
+	StoreLosesAnswers   Kind = "store-loses-answers"
+	StoreForgetsHistory Kind = "store-forgets"
+	EndpointDelayed     Kind = "endpoint-delayed"
+	EndpointReset       Kind = "endpoint-reset"
+	EndpointOneWay      Kind = "endpoint-one-way"
+	EndpointSilent      Kind = "endpoint-silent"
+	EndpointCrash       Kind = "endpoint-crash"
 )
 
 var kinds = []Kind{
-	Kill, Pause, Stop, KillAll, StoreDelayed, StoreReset, StoreOneWay, StoreSilent, StoreAway, StoreLoses, StoreForgets,
+	Kill, Pause, Stop, KillAll, StoreDelayed, StoreReset, StoreOneWay, StoreSilent, StoreUnavailable, StoreLosesAnswers, StoreForgetsHistory,
 	EndpointDelayed, EndpointReset, EndpointOneWay, EndpointSilent, EndpointCrash,
 }
 
 // Harm is one thing that is done to the system.
-type Harm struct {
+type Fault struct {
 	Kind Kind
 	// At is counted from the start, For is how long it lasts, where it does.
-	At, For time.Duration
+	At, Duration time.Duration
 	// Target is the node's or the endpoint's number, from 0.
 	Target int
 }
@@ -57,16 +57,16 @@
 )
 
 // Plan returns a seed's harms in the order of their times.
-func Plan(seed uint64, length time.Duration, nodes, endpoints int) []Harm {
+func Plan(seed uint64, length time.Duration, nodes, endpoints int) []Fault {
 	random := rand.New(rand.NewPCG(seed, 0))
-	var plan []Harm
+	var plan []Fault
 	crashes := 0
 	for at := time.Duration(0); ; {
 		at += time.Duration(random.ExpFloat64() * float64(meanGap))
 		if at >= length {
 			break
 		}
-		harm := Harm{Kind: kinds[random.IntN(len(kinds))], At: at, For: time.Duration(random.Int64N(int64(longest)))}
+		harm := Fault{Kind: kinds[random.IntN(len(kinds))], At: at, Duration: time.Duration(random.Int64N(int64(longest)))}
 		harm.Target = random.IntN(nodes)
 		if harm.isOfEndpoint() {
 			harm.Target = random.IntN(endpoints)
@@ -89,11 +89,11 @@
 			harm.At += seriesGap
 		}
 	}
-	slices.SortStableFunc(plan, func(a, b Harm) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(plan, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
-func (h Harm) isOfEndpoint() bool {
+func (h Fault) isOfEndpoint() bool {
 	switch h.Kind {
 	case EndpointDelayed, EndpointReset, EndpointOneWay, EndpointSilent, EndpointCrash:
 		return true
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -39,7 +39,7 @@
 type Config struct {
 	Seed uint64
 	// Length is how long harm is done.
-	Length           time.Duration
+	Duration         time.Duration
 	Nodes, Endpoints int
 	// Dir is a folder for settings and logs.
 	Dir string
@@ -52,15 +52,15 @@
 // Process is a node in a process of its own.
 type Process interface {
 	// Keep runs the node until ctx ends, and starts it again whenever it ends.
-	Keep(ctx context.Context)
+	Supervise(ctx context.Context)
 	// Signal sends the node a signal, if it runs.
 	Signal(signal syscall.Signal)
 }
 
 // Report is what a soak has seen.
 type Report struct {
-	Harms                          int
-	Accepted, Refused, Unsure, Ran int
+	Faults                             int
+	Accepted, Refused, Uncertain, Runs int
 	// Violations are promises that were broken.
 	Violations []string
 }
@@ -68,7 +68,7 @@
 // soak is one run.
 type soak struct {
 	config    Config
-	stage     *standin.Stage
+	stage     *standin.Platform
 	group     *loops.Group
 	processes []Process
 	callers   []netip.AddrPort
@@ -135,24 +135,24 @@
 		}
 		name := fmt.Sprintf("node-%d", n+1)
 		settings := filepath.Join(s.config.Dir, name+".json")
-		text := s.stage.SettingsThrough(name, ports[0], ports[1], ports[2], door.address())
+		text := s.stage.SettingsWithStore(name, ports[0], ports[1], ports[2], door.address())
 		if err := os.WriteFile(settings, text, 0o600); err != nil {
 			return errors.Wrap(err, "write a node's settings")
 		}
 		p := s.config.NewProcess(settings, filepath.Join(s.config.Dir, name+".log"))
 		s.processes = append(s.processes, p)
 		s.callers = append(s.callers, ports[0])
-		s.group.Go(p.Keep)
+		s.group.Go(p.Supervise)
 	}
 	return nil
 }
 
 // play harms the system while callers hand jobs in, and then waits for their ends.
 func (s *soak) play(ctx context.Context) {
-	plan := Plan(s.config.Seed, s.config.Length, s.config.Nodes, s.config.Endpoints)
-	s.report.Harms = len(plan)
+	plan := Plan(s.config.Seed, s.config.Duration, s.config.Nodes, s.config.Endpoints)
+	s.report.Faults = len(plan)
 	calls := loops.New(ctx)
-	end := time.Now().Add(s.config.Length)
+	end := time.Now().Add(s.config.Duration)
 	calls.Go(func(ctx context.Context) { s.handInJobs(ctx, end) })
 	calls.Go(func(ctx context.Context) { s.askStates(ctx, end) })
 	begun := time.Now()
@@ -171,10 +171,10 @@
 }
 
 // do does one harm and takes it back after its time.
-func (s *soak) do(ctx context.Context, harm Harm) {
+func (s *soak) do(ctx context.Context, harm Fault) {
 	during := func(begin, end func()) {
 		begin()
-		sleep(ctx, harm.For)
+		sleep(ctx, harm.Duration)
 		end()
 	}
 	link := func(door *proxy, state linkState) {
@@ -201,12 +201,12 @@
 		link(store, linkOneWay)
 	case StoreSilent:
 		link(store, linkSilent)
-	case StoreAway:
-		during(func() { s.stage.SetStoreAway(true) }, func() { s.stage.SetStoreAway(false) })
-	case StoreLoses:
+	case StoreUnavailable:
+		during(func() { s.stage.SetStoreDown(true) }, func() { s.stage.SetStoreDown(false) })
+	case StoreLosesAnswers:
 		during(func() { s.stage.SetLoseAnswers(true) }, func() { s.stage.SetLoseAnswers(false) })
-	case StoreForgets:
-		s.stage.ForgetHistory()
+	case StoreForgetsHistory:
+		s.stage.DropHistory()
 	case EndpointDelayed:
 		link(endpoint, linkDelayed)
 	case EndpointReset:
@@ -222,7 +222,7 @@
 
 // restore ends all harm.
 func (s *soak) restore() {
-	s.stage.SetStoreAway(false)
+	s.stage.SetStoreDown(false)
 	s.stage.SetLoseAnswers(false)
 	for _, door := range append(s.stores, s.endpoints...) {
 		door.set(linkWell)
@@ -267,7 +267,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if isUnsure {
-		s.report.Unsure++
+		s.report.Uncertain++
 		return
 	}
 	s.refused = append(s.refused, jobID(n))
@@ -291,7 +291,7 @@
 		}
 		id, node := known[random.IntN(len(known))], s.callers[random.IntN(len(s.callers))]
 		call, cancel := context.WithTimeout(ctx, callTime)
-		state, isUnknown := s.stage.StateOrUnknown(call, node, id)
+		state, isUnknown := s.stage.LookupState(call, node, id)
 		cancel()
 		if isUnknown || state == "failed" || state == "cancelled" {
 			s.violated("job %s, accepted, is shown as %q (unknown: %v) by %s", id, state, isUnknown, node)
@@ -305,7 +305,7 @@
 	for id := range s.accepted {
 		for n := 0; ; n++ {
 			call, cancel := context.WithTimeout(ctx, callTime)
-			state, _ := s.stage.StateOrUnknown(call, s.callers[n%len(s.callers)], id)
+			state, _ := s.stage.LookupState(call, s.callers[n%len(s.callers)], id)
 			cancel()
 			if state == "complete" {
 				break
@@ -322,20 +322,20 @@
 // check compares what the endpoints have run with what callers were told.
 func (s *soak) check() {
 	for id := range s.accepted {
-		if got, want := s.stage.RanTasks(id), steps*tasks; got != want {
+		if got, want := s.stage.EverDoneTasks(id), steps*tasks; got != want {
 			s.violated("job %s: %d tasks done, want %d", id, got, want)
 		}
 	}
 	for _, id := range s.refused {
-		if got := s.stage.RanTasks(id); got != 0 {
+		if got := s.stage.EverDoneTasks(id); got != 0 {
 			s.violated("job %s was refused at each try, and %d of its tasks ran", id, got)
 		}
 	}
 	seen := s.stage.Report()
-	for _, double := range seen.Doubles {
+	for _, double := range seen.DuplicateStarts {
 		s.violated("%s, and was started again", double)
 	}
-	s.report.Accepted, s.report.Refused, s.report.Ran = len(s.accepted), len(s.refused), seen.Runs
+	s.report.Accepted, s.report.Refused, s.report.Runs = len(s.accepted), len(s.refused), seen.Runs
 }
 
 func (s *soak) violated(format string, args ...any) {
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -245,7 +245,7 @@
 	stats.Endpoint = s.cfg.Name
 	stats.Service = s.cfg.Service
 	stats.Leaving = s.leaving
-	stats.GreatestConnections = s.greatest
+	stats.MaxConnections = s.greatest
 	return stats
 }
 
--- a/internal/standin/endpoint/endpoint_test.go
+++ b/internal/standin/endpoint/endpoint_test.go
@@ -106,7 +106,7 @@
 	release()
 	<-done
 	stats := server.Stats()
-	if got, want := stats.Total, (endpoint.Counts{Started: 1, Completed: 1, Greatest: 1}); got != want {
+	if got, want := stats.Total, (endpoint.Counts{Started: 1, Completed: 1, MaxRunning: 1}); got != want {
 		t.Errorf("counts: got %+v, want %+v", got, want)
 	}
 	if got, want := stats.Refused, 1; got != want {
--- a/internal/standin/endpoint/ledger.go
+++ b/internal/standin/endpoint/ledger.go
@@ -27,25 +27,25 @@
 
 // Counts are the runs of one team, or of all.
 type Counts struct {
-	Started   int `json:"started"`
-	Completed int `json:"completed"`
-	Running   int `json:"running"`
-	Greatest  int `json:"greatest-running"`
+	Started    int `json:"started"`
+	Completed  int `json:"completed"`
+	Running    int `json:"running"`
+	MaxRunning int `json:"greatest-running"`
 }
 
 // Stats is the answer to GET /standin/stats.
 type Stats struct {
-	Endpoint            string            `json:"endpoint"`
-	Service             string            `json:"service"`
-	Leaving             bool              `json:"leaving"`
-	Total               Counts            `json:"total"`
-	Teams               map[string]Counts `json:"teams"`
-	Refused             int               `json:"refused"`
-	GreatestConnections int               `json:"greatest-connections"`
-	LastStart           time.Time         `json:"last-start,omitzero"`
-	KeyRuns             []KeyRuns         `json:"runs-per-key"`
-	Runs                []Run             `json:"runs"`
-	Dropped             int               `json:"dropped-records"`
+	Endpoint       string            `json:"endpoint"`
+	Service        string            `json:"service"`
+	Leaving        bool              `json:"leaving"`
+	Total          Counts            `json:"total"`
+	Teams          map[string]Counts `json:"teams"`
+	Refused        int               `json:"refused"`
+	MaxConnections int               `json:"greatest-connections"`
+	LastStart      time.Time         `json:"last-start,omitzero"`
+	KeyRuns        []KeyRuns         `json:"runs-per-key"`
+	Runs           []Run             `json:"runs"`
+	Dropped        int               `json:"dropped-records"`
 }
 
 // teamKey identifies an idempotency key within its team.
@@ -143,7 +143,7 @@
 func (c *Counts) begin() {
 	c.Started++
 	c.Running++
-	c.Greatest = max(c.Greatest, c.Running)
+	c.MaxRunning = max(c.MaxRunning, c.Running)
 }
 
 func (c *Counts) finish() {
--- a/internal/standin/load/balancer.go
+++ b/internal/standin/load/balancer.go
@@ -28,7 +28,7 @@
 func newBalancer(cfg Config) *balancer {
 	return &balancer{
 		targets: cfg.Targets,
-		probes:  cfg.Probes,
+		probes:  cfg.ReadinessAddresses,
 		down:    make([]atomic.Bool, len(cfg.Targets)),
 		client:  &http.Client{Timeout: probeTimeout, Transport: &http.Transport{}},
 	}
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -40,17 +40,17 @@
 	Targets []netip.AddrPort
 	// Probes are the operations addresses of the targets, in their order. With
 	// them the tool acts as a balancer: it passes over targets that are not ready.
-	Probes      []netip.AddrPort
-	Service     string
-	Key         string
-	Method      string
-	Rate        float64 // requests a second; unpaced if zero
-	Duration    time.Duration
-	Requests    int
-	Concurrency int
-	BodyBytes   int
+	ReadinessAddresses []netip.AddrPort
+	Service            string
+	Key                string
+	Method             string
+	Rate               float64 // requests a second; unpaced if zero
+	Duration           time.Duration
+	Requests           int
+	Concurrency        int
+	BodyBytes          int
 	// Marked gives each request an idempotency key of its own.
-	Marked bool
+	IdempotencyKeys bool
 	// Copies sends each request to so many targets at the same time.
 	Copies    int
 	Deadline  time.Duration
@@ -107,8 +107,8 @@
 			return cfg, errors.Newf("targets: %s is not on loopback", target)
 		}
 	}
-	if len(cfg.Probes) > 0 && len(cfg.Probes) != len(cfg.Targets) {
-		return cfg, errors.Newf("probes: %d for %d targets", len(cfg.Probes), len(cfg.Targets))
+	if len(cfg.ReadinessAddresses) > 0 && len(cfg.ReadinessAddresses) != len(cfg.Targets) {
+		return cfg, errors.Newf("probes: %d for %d targets", len(cfg.ReadinessAddresses), len(cfg.Targets))
 	}
 	if cfg.Duration <= 0 && cfg.Requests <= 0 {
 		return cfg, errors.New("duration or requests must be set")
@@ -163,7 +163,7 @@
 // sendCopies sends one request to as many targets as it has copies.
 func (g *generator) sendCopies(ctx context.Context, index int64) {
 	key := ""
-	if g.cfg.Marked {
+	if g.cfg.IdempotencyKeys {
 		key = newID()
 	}
 	// All copies are the same request, as a caller's repeat is.
@@ -181,7 +181,7 @@
 		})
 	}
 	group.Wait()
-	if g.cfg.Marked && int(refused.Load()) == g.cfg.Copies {
+	if g.cfg.IdempotencyKeys && int(refused.Load()) == g.cfg.Copies {
 		g.samples.refuse(key)
 	}
 }
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -69,7 +69,7 @@
 		wantNotRun int
 		want500    int
 	}{
-		"plain":      {cfg: load.Config{BodyBytes: 1000, Marked: true}, wantOK: requests},
+		"plain":      {cfg: load.Config{BodyBytes: 1000, IdempotencyKeys: true}, wantOK: requests},
 		"get":        {cfg: load.Config{Method: http.MethodGet}, wantOK: requests},
 		"echo":       {cfg: load.Config{BodyBytes: 100_000, Behaviour: endpoint.Echo}, wantOK: requests},
 		"large body": {cfg: load.Config{Behaviour: endpoint.LargeBody + "=300000"}, wantOK: requests},
@@ -105,7 +105,7 @@
 }
 
 func TestCopiesShareOneKey(t *testing.T) {
-	_, stats := run(t, load.Config{Marked: true, Copies: 2}, straight)
+	_, stats := run(t, load.Config{IdempotencyKeys: true, Copies: 2}, straight)
 	if got, want := len(stats.KeyRuns), requests; got != want {
 		t.Fatalf("keys: got %d, want %d", got, want)
 	}
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -36,8 +36,8 @@
 	Limits map[string]int
 	// WithdrawnAt is when the withdrawal of the key of load Withdrawn was
 	// accepted; zero when none was.
-	WithdrawnAt time.Time
-	Withdrawn   string
+	WithdrawnAt   time.Time
+	WithdrawnLoad string
 	// Charged and Unproven are the run ids in the table.
 	Charged  []string
 	Unproven []string
@@ -50,7 +50,7 @@
 }
 
 // Verdict is one line of the report.
-type Verdict struct {
+type Result struct {
 	Name string
 	Got  string
 	Want string
@@ -58,8 +58,8 @@
 }
 
 // Check judges the evidence.
-func Check(e Evidence) []Verdict {
-	verdicts := []Verdict{e.served(), e.whole(), e.markedOnce(), e.refusals(), e.taskRuns()}
+func Check(e Evidence) []Result {
+	verdicts := []Result{e.served(), e.whole(), e.markedOnce(), e.refusals(), e.taskRuns()}
 	for _, team := range sortedKeys(e.Limits) {
 		verdicts = append(verdicts, e.limit(team))
 	}
@@ -70,7 +70,7 @@
 }
 
 // Print writes a table and reports whether all verdicts are good.
-func Print(w io.Writer, verdicts []Verdict) (ok bool) {
+func Print(w io.Writer, verdicts []Result) (ok bool) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CHECK\tGOT\tWANT\t")
 	ok = true
@@ -88,17 +88,17 @@
 }
 
 // served counts the good answers.
-func (e Evidence) served() Verdict {
+func (e Evidence) served() Result {
 	sent, ok := 0, 0
 	for _, l := range e.Loads {
 		sent += l.Sent
 		ok += l.OK
 	}
-	return Verdict{"requests served", fmt.Sprintf("%d of %d", ok, sent), "some", ok > 0}
+	return Result{"requests served", fmt.Sprintf("%d of %d", ok, sent), "some", ok > 0}
 }
 
 // whole counts answers that were not the caller's own, or not whole.
-func (e Evidence) whole() Verdict {
+func (e Evidence) whole() Result {
 	wrong, cut, failed := 0, 0, 0
 	for _, l := range e.Loads {
 		wrong += l.Wrong
@@ -106,11 +106,11 @@
 		failed += l.Errors
 	}
 	got := fmt.Sprintf("%d wrong, %d cut, %d without an answer", wrong, cut, failed)
-	return Verdict{"wrong or cut answers", got, "0", wrong+cut+failed == 0}
+	return Result{"wrong or cut answers", got, "0", wrong+cut+failed == 0}
 }
 
 // markedOnce looks for marked requests that ran more than once.
-func (e Evidence) markedOnce() Verdict {
+func (e Evidence) markedOnce() Result {
 	runs := e.runsByKey()
 	twice := 0
 	for _, n := range runs {
@@ -118,11 +118,11 @@
 			twice++
 		}
 	}
-	return Verdict{"marked requests run twice", fmt.Sprintf("%d of %d", twice, len(runs)), "0", twice == 0}
+	return Result{"marked requests run twice", fmt.Sprintf("%d of %d", twice, len(runs)), "0", twice == 0}
 }
 
 // refusals looks for requests that ran although every answer said that they did not.
-func (e Evidence) refusals() Verdict {
+func (e Evidence) refusals() Result {
 	runs := e.runsByKey()
 	refused, untrue := 0, 0
 	for _, l := range e.Loads {
@@ -133,18 +133,18 @@
 			}
 		}
 	}
-	return Verdict{"untrue \"not run\"", fmt.Sprintf("%d of %d refused", untrue, refused), "0", untrue == 0}
+	return Result{"untrue \"not run\"", fmt.Sprintf("%d of %d refused", untrue, refused), "0", untrue == 0}
 }
 
 // taskRuns looks for tasks that ran more than once.
-func (e Evidence) taskRuns() Verdict {
+func (e Evidence) taskRuns() Result {
 	twice := 0
 	for _, n := range e.RunsPerTask {
 		if n > 1 {
 			twice++
 		}
 	}
-	return Verdict{"tasks run twice", fmt.Sprintf("%d of %d", twice, len(e.RunsPerTask)), "0", twice == 0}
+	return Result{"tasks run twice", fmt.Sprintf("%d of %d", twice, len(e.RunsPerTask)), "0", twice == 0}
 }
 
 // runsByKey counts the runs of each idempotency key over all endpoints.
@@ -159,10 +159,10 @@
 }
 
 // limit compares the greatest number of a team's runs at one time with its limit.
-func (e Evidence) limit(team string) Verdict {
+func (e Evidence) limit(team string) Result {
 	greatest := greatestAtOnce(e.intervals(team))
 	limit := e.Limits[team]
-	return Verdict{
+	return Result{
 		"greatest running, team " + team, fmt.Sprint(greatest),
 		fmt.Sprintf("at most %d", limit), greatest <= limit,
 	}
@@ -211,17 +211,17 @@
 }
 
 // withdrawal measures how long a withdrawn key went on working.
-func (e Evidence) withdrawal() Verdict {
-	last := e.Loads[e.Withdrawn].LastOK
+func (e Evidence) withdrawal() Result {
+	last := e.Loads[e.WithdrawnLoad].LastOK
 	took := max(0, last.Sub(e.WithdrawnAt))
-	return Verdict{
+	return Result{
 		"withdrawn key stopped after", took.Round(time.Millisecond).String(),
 		"at most " + maxWithdrawal.String(), took <= maxWithdrawal && !last.IsZero(),
 	}
 }
 
 // charges looks for charges without a run.
-func (e Evidence) charges() Verdict {
+func (e Evidence) charges() Result {
 	ran := e.runIDs()
 	unfounded := 0
 	for _, id := range e.Charged {
@@ -231,11 +231,11 @@
 	}
 	distinct := slices.Compact(slices.Sorted(slices.Values(e.Charged)))
 	got := fmt.Sprintf("%d of %d, %d twice", unfounded, len(e.Charged), len(e.Charged)-len(distinct))
-	return Verdict{"charges without a run", got, "0", unfounded == 0 && len(distinct) == len(e.Charged)}
+	return Result{"charges without a run", got, "0", unfounded == 0 && len(distinct) == len(e.Charged)}
 }
 
 // uncharged looks for runs that are neither charged nor listed as unproven.
-func (e Evidence) uncharged() Verdict {
+func (e Evidence) uncharged() Result {
 	known := make(map[string]bool)
 	for _, id := range slices.Concat(e.Charged, e.Unproven) {
 		known[id] = true
@@ -248,7 +248,7 @@
 		}
 	}
 	got := fmt.Sprintf("%d of %d, %d unproven", missing, len(ran), len(e.Unproven))
-	return Verdict{"runs without a charge", got, "0", missing == 0}
+	return Result{"runs without a charge", got, "0", missing == 0}
 }
 
 // runIDs returns the runs that endpoints and workers completed.
--- a/internal/standin/worker/runner.go
+++ b/internal/standin/worker/runner.go
@@ -120,12 +120,12 @@
 }
 
 // renew extends the leases of all named tasks that run.
-func (r *runner) renew(now time.Time, renewal api.Renewal) (api.Renewed, refusal) {
+func (r *runner) renew(now time.Time, renewal api.Renewal) (api.RenewalReport, refusal) {
 	if why := r.admit(renewal.Shard, renewal.Epoch); why != "" {
-		return api.Renewed{}, why
+		return api.RenewalReport{}, why
 	}
 	r.advance(now)
-	renewed := api.Renewed{Incarnation: r.cfg.Incarnation, Tasks: []api.Status{}}
+	renewed := api.RenewalReport{Incarnation: r.cfg.Incarnation, Tasks: []api.Status{}}
 	order := api.Order{Epoch: renewal.Epoch, Lease: renewal.Lease}
 	for _, id := range renewal.IDs {
 		known, ok := r.tasks[id]
--- a/internal/task/answer.go
+++ b/internal/task/answer.go
@@ -139,7 +139,7 @@
 
 // handleRunning records that the attempt is running, and its resource usage.
 func (c *Controller) handleRunning(now time.Time, it *item, record Record, answer Answer) {
-	c.cfg.Placer.Report(now, record.Name(), answer.Usage)
+	c.cfg.Placer.ReportUsage(now, record.Name(), answer.Usage)
 	if record.State == Running {
 		return
 	}
--- a/internal/task/controller.go
+++ b/internal/task/controller.go
@@ -44,16 +44,16 @@
 type Placer interface {
 	Join(worker place.Worker)
 	Leave(worker string)
-	Gone(worker string)
-	Silent(worker string, silent bool)
+	Remove(worker string)
+	SetSilent(worker string, silent bool)
 	Fits(declared place.Size) (fits, known bool)
 	Choose(now time.Time, demand place.Demand) place.Decision
 	Place(now time.Time, demand place.Demand, worker string)
-	Report(now time.Time, task string, usage place.Size)
+	ReportUsage(now time.Time, task string, usage place.Size)
 	Release(now time.Time, task string, result place.Result)
 	Forget(task string)
-	Restore(now time.Time) []string
-	Expected(queue string, declared time.Duration) time.Duration
+	Unthrottle(now time.Time) []string
+	ExpectedRunTime(queue string, declared time.Duration) time.Duration
 }
 
 // Config configures a Controller. Zero durations and counts mean the defaults.
--- a/internal/task/runner/calls.go
+++ b/internal/task/runner/calls.go
@@ -86,7 +86,7 @@
 }
 
 // newPollResult converts the response to a lease renewal.
-func newPollResult(renewed worker.Renewed, err error) task.PollResult {
+func newPollResult(renewed worker.RenewalReport, err error) task.PollResult {
 	if err != nil {
 		return task.PollResult{Kind: newAnswer(worker.Status{}, err).Kind}
 	}
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -54,7 +54,7 @@
 	Stop(ctx context.Context, address netip.AddrPort, id string, order worker.Order) (worker.Status, error)
 	Checkpoint(ctx context.Context, address netip.AddrPort, id string, order worker.Order) (worker.Status, error)
 	Throttle(ctx context.Context, address netip.AddrPort, id string, order worker.Order) (worker.Status, error)
-	RenewAll(ctx context.Context, address netip.AddrPort, renewal worker.Renewal) (worker.Renewed, error)
+	RenewAll(ctx context.Context, address netip.AddrPort, renewal worker.Renewal) (worker.RenewalReport, error)
 	Report(ctx context.Context, address netip.AddrPort) (worker.Report, error)
 }
 
--- a/internal/task/schedule.go
+++ b/internal/task/schedule.go
@@ -234,7 +234,7 @@
 
 // restoreThrottled returns throttled tasks to full speed where capacity allows.
 func (c *Controller) restoreThrottled(now time.Time) {
-	for _, name := range c.cfg.Placer.Restore(now) {
+	for _, name := range c.cfg.Placer.Unthrottle(now) {
 		c.updateItem(now, name, func(it *item) { it.targetRate = 1 })
 	}
 }
--- a/internal/task/worker.go
+++ b/internal/task/worker.go
@@ -120,7 +120,7 @@
 	if state, ok := c.workers[worker]; ok {
 		state.silent = silent
 	}
-	c.cfg.Placer.Silent(worker, silent)
+	c.cfg.Placer.SetSilent(worker, silent)
 }
 
 // Workers returns the names of the workers that are not known to be gone, so that
@@ -159,7 +159,7 @@
 // of the worker's processes will answer again. A worker that merely doesn't
 // answer is not gone.
 func (c *Controller) Gone(now time.Time, worker string) {
-	c.cfg.Placer.Gone(worker)
+	c.cfg.Placer.Remove(worker)
 	state, ok := c.workers[worker]
 	if !ok {
 		return
--- a/internal/wave/wave.go
+++ b/internal/wave/wave.go
@@ -34,7 +34,7 @@
 	// BudgetLeft is the part of the availability budget that is not spent, 0 to 1.
 	BudgetLeft float64
 	// Elsewhere is how the same maintenance went in other pools.
-	Elsewhere Results
+	OtherPools Results
 }
 
 // Results counts hosts by how their maintenance ended.
@@ -49,7 +49,7 @@
 // Verdicts of Step.
 const (
 	// Go: take down the hosts of Start, if any.
-	Go Verdict = "go"
+	Proceed Verdict = "go"
 	// Hold: nothing may be taken down now; the wave goes on by itself.
 	Hold Verdict = "hold"
 	// Stopped: hosts did not come back; an operator or the cool-down resumes.
@@ -72,7 +72,7 @@
 	Reason  string   `json:"reason,omitempty"`
 	Start   []string `json:"start,omitempty"`
 	// Left are the hosts that a finished wave did not maintain.
-	Left []string `json:"left,omitempty"`
+	Skipped []string `json:"left,omitempty"`
 }
 
 // Defaults of Config.
@@ -164,10 +164,10 @@
 	}
 	pending, down := count(view.Hosts, StatePending), count(view.Hosts, StateDown)
 	if pending == 0 && down == 0 {
-		return Decision{Verdict: Finished, Left: left(view.Hosts)}
+		return Decision{Verdict: Finished, Skipped: left(view.Hosts)}
 	}
 	if pending == 0 {
-		return Decision{Verdict: Go}
+		return Decision{Verdict: Proceed}
 	}
 	// The negation holds too when the budget is not a number.
 	if !(view.BudgetLeft > w.config.BudgetReserve) {
@@ -181,18 +181,18 @@
 	if len(start) == 0 && down == 0 {
 		return Decision{Verdict: Hold, Reason: ReasonCanaries}
 	}
-	return Decision{Verdict: Go, Start: start}
+	return Decision{Verdict: Proceed, Start: start}
 }
 
 // allowed is the number of hosts that may be taken down by what earlier ones
 // have proven. Failed canaries are not replaced while others are under way.
 func (w *Wave) allowed(view View, down int) int {
 	proof := min(w.config.Canaries, w.config.MaxFailures)
-	if count(view.Hosts, StateDone)+view.Elsewhere.Done >= proof {
+	if count(view.Hosts, StateDone)+view.OtherPools.Done >= proof {
 		return len(view.Hosts)
 	}
 	failed := len(w.recent)
-	if failed+view.Elsewhere.Failed >= w.config.MaxFailures {
+	if failed+view.OtherPools.Failed >= w.config.MaxFailures {
 		return 0
 	}
 	if down == 0 {
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -70,12 +70,12 @@
 		wantReason string
 		wantStart  int
 	}{
-		"a few hosts first":             {wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1}, wave.Go, "", 2},
-		"as many as the reserve allows": {wave.View{Hosts: proven, Need: 4, BudgetLeft: 1}, wave.Go, "", 6},
+		"a few hosts first":             {wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1}, wave.Proceed, "", 2},
+		"as many as the reserve allows": {wave.View{Hosts: proven, Need: 4, BudgetLeft: 1}, wave.Proceed, "", 6},
 		"budget unknown":                {wave.View{Hosts: proven, Need: 4, BudgetLeft: math.NaN()}, wave.Hold, wave.ReasonBudget, 0},
-		"failures far apart":            {wave.View{Hosts: apart, Need: 2, BudgetLeft: 1}, wave.Go, "", 1},
+		"failures far apart":            {wave.View{Hosts: apart, Need: 2, BudgetLeft: 1}, wave.Proceed, "", 1},
 		"finished without some":         {wave.View{Hosts: ended, Need: 1, BudgetLeft: 1}, wave.Finished, "", 0},
-		"present failures count":        {wave.View{Hosts: lost, Need: 3, BudgetLeft: 1}, wave.Go, "", 2},
+		"present failures count":        {wave.View{Hosts: lost, Need: 3, BudgetLeft: 1}, wave.Proceed, "", 2},
 		"no room":                       {wave.View{Hosts: pool(12, wave.StatePending), Need: 8, BudgetLeft: 1}, wave.Hold, wave.ReasonCapacity, 0},
 		"budget spent":                  {wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 0.1}, wave.Hold, wave.ReasonBudget, 0},
 		"failures correlate":            {wave.View{Hosts: failing, Need: 2, BudgetLeft: 1}, wave.Stopped, wave.ReasonCorrelated, 0},
@@ -102,9 +102,9 @@
 		want     wave.Verdict
 	}{
 		"nobody looked":            {after: time.Minute, want: wave.Stopped},
-		"operator":                 {operator: true, want: wave.Go},
+		"operator":                 {operator: true, want: wave.Proceed},
 		"repaired, too early":      {repaired: true, after: time.Minute, want: wave.Stopped},
-		"repaired and cooled down": {repaired: true, after: wave.DefaultCoolDown, want: wave.Go},
+		"repaired and cooled down": {repaired: true, after: wave.DefaultCoolDown, want: wave.Proceed},
 		"time alone":               {after: 10 * wave.DefaultCoolDown, want: wave.Stopped},
 	}
 	for name, tc := range tests {
@@ -133,7 +133,7 @@
 		hosts := pool(rapid.IntRange(14, 40).Draw(t, "hosts"), wave.StatePending)
 		canaries := rapid.IntRange(2, 4).Draw(t, "canaries")
 		w, now, lost := wave.New(wave.Config{Canaries: canaries}), start, 0
-		verdict := wave.Go
+		verdict := wave.Proceed
 		for range 20 {
 			now = now.Add(time.Minute)
 			decision := w.Step(now, wave.View{Hosts: hosts, Need: 1, BudgetLeft: 1})
@@ -148,7 +148,7 @@
 		}
 		view := wave.View{Hosts: hosts, Need: 1, BudgetLeft: 1}
 		w.Resume(view)
-		if got, want := w.Step(now, view).Verdict, wave.Go; got != want {
+		if got, want := w.Step(now, view).Verdict, wave.Proceed; got != want {
 			t.Fatalf("after the operator's word: got %s, want %s", got, want)
 		}
 		failed := slices.Clone(hosts)
@@ -171,17 +171,17 @@
 		want      int
 		verdict   wave.Verdict
 	}{
-		"nothing known":           {want: 2, verdict: wave.Go},
-		"roll-out time weighs":    {weight: 1.6, want: 4, verdict: wave.Go},
-		"roll-out weighs little":  {weight: 0.4, want: 2, verdict: wave.Go},
-		"proven elsewhere":        {elsewhere: wave.Results{Done: 2}, want: 6, verdict: wave.Go},
-		"one proven elsewhere":    {elsewhere: wave.Results{Done: 1}, want: 2, verdict: wave.Go},
+		"nothing known":           {want: 2, verdict: wave.Proceed},
+		"roll-out time weighs":    {weight: 1.6, want: 4, verdict: wave.Proceed},
+		"roll-out weighs little":  {weight: 0.4, want: 2, verdict: wave.Proceed},
+		"proven elsewhere":        {elsewhere: wave.Results{Done: 2}, want: 6, verdict: wave.Proceed},
+		"one proven elsewhere":    {elsewhere: wave.Results{Done: 1}, want: 2, verdict: wave.Proceed},
 		"canaries fail elsewhere": {elsewhere: wave.Results{Failed: 2}, want: 0, verdict: wave.Hold},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := wave.New(wave.Config{RollOutTime: tc.weight})
-			got := w.Step(start, wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1, Elsewhere: tc.elsewhere})
+			got := w.Step(start, wave.View{Hosts: pool(12, wave.StatePending), Need: 4, BudgetLeft: 1, OtherPools: tc.elsewhere})
 			if got.Verdict != tc.verdict || len(got.Start) != tc.want {
 				t.Errorf("got %+v, want %s of %d hosts", got, tc.verdict, tc.want)
 			}
@@ -192,7 +192,7 @@
 func TestFinishedNamesWhatIsLeft(t *testing.T) {
 	hosts := pool(3, wave.StateDone)
 	hosts[2].State = wave.StateLost
-	got := wave.New(wave.Config{}).Step(start, wave.View{Hosts: hosts, BudgetLeft: 1}).Left
+	got := wave.New(wave.Config{}).Step(start, wave.View{Hosts: hosts, BudgetLeft: 1}).Skipped
 	if want := []string{"host-02"}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
--- a/internal/worker/api.go
+++ b/internal/worker/api.go
@@ -77,7 +77,7 @@
 }
 
 // Renewed answers a Renewal: the present status of each task that is known.
-type Renewed struct {
+type RenewalReport struct {
 	Incarnation string   `json:"incarnation"`
 	Tasks       []Status `json:"tasks"`
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -78,8 +78,8 @@
 }
 
 // RenewAll extends the leases of many tasks and returns their statuses.
-func (c *Client) RenewAll(ctx context.Context, address netip.AddrPort, renewal Renewal) (Renewed, error) {
-	var renewed Renewed
+func (c *Client) RenewAll(ctx context.Context, address netip.AddrPort, renewal Renewal) (RenewalReport, error) {
+	var renewed RenewalReport
 	err := c.do(ctx, http.MethodPost, address, RenewPath, renewal, &renewed)
 	return renewed, err
 }
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -143,13 +143,13 @@
 func TestTableOutage(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	config := f.loadConfig("entry-1", "entry-2", "entry-3")
-	config.Marked, config.Copies, config.Rate = true, 2, 60
+	config.IdempotencyKeys, config.Copies, config.Rate = true, 2, 60
 	stop := f.startLoad(config)
 	time.Sleep(time.Second)
 	f.injectFaults(`{"down":true}`)
 	time.Sleep(5 * time.Second)
 	during := f.loadConfig("entry-1", "entry-2", "entry-3")
-	during.Marked, during.Requests = true, 100
+	during.IdempotencyKeys, during.Requests = true, 100
 	duringReport := f.runLoad(during)
 	f.injectFaults(`{"lose-answers":true}`)
 	time.Sleep(time.Second)
@@ -170,7 +170,7 @@
 func TestEntryCrashDuringTableOutage(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	config := f.loadConfig("entry-1", "entry-2")
-	config.Marked, config.Copies, config.Rate = true, 2, 60
+	config.IdempotencyKeys, config.Copies, config.Rate = true, 2, 60
 	stop := f.startLoad(config)
 	time.Sleep(time.Second)
 	f.injectFaults(`{"down":true}`)
@@ -203,7 +203,7 @@
 	time.Sleep(4 * time.Second)
 	f.signal("entry-2", syscall.SIGCONT)
 	config := f.loadConfig("entry-2")
-	config.Probes = nil
+	config.ReadinessAddresses = nil
 	config.Key, config.Requests = withdrawnKey, 50
 	report := f.runLoad(config)
 	if got := report.OK; got != 0 {
@@ -367,10 +367,10 @@
 	steady.Rate = 80
 	stopSteady := f.startLoad(steady)
 	truncated := f.loadConfig("entry-1", "entry-2")
-	truncated.Behaviour, truncated.Requests, truncated.Marked, truncated.Rate = "truncate", 40, true, 40
+	truncated.Behaviour, truncated.Requests, truncated.IdempotencyKeys, truncated.Rate = "truncate", 40, true, 40
 	f.runLoad(truncated)
 	late := f.loadConfig("entry-1", "entry-2")
-	late.RunTime, late.Deadline, late.Requests, late.Marked, late.Rate = 400*time.Millisecond, 100*time.Millisecond, 20, true, 20
+	late.RunTime, late.Deadline, late.Requests, late.IdempotencyKeys, late.Rate = 400*time.Millisecond, 100*time.Millisecond, 20, true, 20
 	f.runLoad(late)
 	f.injectFaults(`{"down":true}`)
 	time.Sleep(2 * time.Second)
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -430,7 +430,7 @@
 	config := load.Config{Service: "orders", Key: f.key, Deadline: 2 * time.Second, Concurrency: 24}
 	for _, name := range names {
 		config.Targets = append(config.Targets, f.processes[name].callers)
-		config.Probes = append(config.Probes, f.processes[name].operations)
+		config.ReadinessAddresses = append(config.ReadinessAddresses, f.processes[name].operations)
 	}
 	return config
 }
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -32,7 +32,7 @@
 	}
 	for name, seed := range seeds {
 		t.Run(name, func(t *testing.T) {
-			runSeed(t, soak.Config{Seed: seed, Length: 8 * time.Second, Nodes: 3, Endpoints: 6, Dir: t.TempDir()})
+			runSeed(t, soak.Config{Seed: seed, Duration: 8 * time.Second, Nodes: 3, Endpoints: 6, Dir: t.TempDir()})
 		})
 	}
 }
@@ -45,7 +45,7 @@
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			runSeed(t, soak.Config{Seed: seed, Length: *soakLength, Nodes: *soakNodes, Endpoints: *soakEndpoints, Dir: dir})
+			runSeed(t, soak.Config{Seed: seed, Duration: *soakLength, Nodes: *soakNodes, Endpoints: *soakEndpoints, Dir: dir})
 			if t.Failed() {
 				t.Logf("logs: %s", dir)
 				return
@@ -68,11 +68,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d faults, %d jobs accepted, %d refused, %d with unknown outcome, %d runs", report.Harms, report.Accepted, report.Refused, report.Unsure, report.Ran)
+	t.Logf("%d faults, %d jobs accepted, %d refused, %d with unknown outcome, %d runs", report.Faults, report.Accepted, report.Refused, report.Uncertain, report.Runs)
 	for _, violation := range report.Violations {
 		t.Error(violation)
 	}
-	if report.Accepted == 0 || report.Harms == 0 {
-		t.Errorf("soak: got %d jobs accepted and %d faults, want some of both", report.Accepted, report.Harms)
+	if report.Accepted == 0 || report.Faults == 0 {
+		t.Errorf("soak: got %d jobs accepted and %d faults, want some of both", report.Accepted, report.Faults)
 	}
 }
--- a/test/soakprocess_test.go
+++ b/test/soakprocess_test.go
@@ -21,7 +21,7 @@
 }
 
 // Keep runs the node until ctx ends, and then kills it.
-func (p *soakProcess) Keep(ctx context.Context) {
+func (p *soakProcess) Supervise(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := p.runOnce(ctx); err != nil {
 			return
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -75,7 +75,7 @@
 func TestPeersOverTLS(t *testing.T) {
 	f := newFleet(t, 2, 1, (*testFleet).issueCertificates)
 	config := f.loadConfig("entry-1", "entry-2")
-	config.Marked, config.Requests = true, 50
+	config.IdempotencyKeys, config.Requests = true, 50
 	report := f.runLoad(config)
 	f.checkResponses(report)
 	if got, want := report.OK, 50; got != want {
