--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -12,9 +12,9 @@
 
 // batchLoop writes batches of the leader's changed rows and renews its claim.
 func (t *term) batchLoop(ctx context.Context) {
-	renewed := time.Now()
+	renewedAt := time.Now()
 	for {
-		timer := time.NewTimer(max(0, renewInterval-time.Since(renewed)))
+		timer := time.NewTimer(max(0, renewInterval-time.Since(renewedAt)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -23,9 +23,9 @@
 		case <-timer.C:
 		}
 		timer.Stop()
-		isDue := time.Since(renewed) >= renewInterval
+		isDue := time.Since(renewedAt) >= renewInterval
 		if t.writeNext(ctx, isDue) && isDue {
-			renewed = time.Now()
+			renewedAt = time.Now()
 		}
 		if !sleep(ctx, minBatchPause) {
 			return
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,8 +16,8 @@
 type Endpoints interface {
 	Start(ctx context.Context, to fleet.EndpointAddress, token uint64, start fleet.Start) fleet.Reply
 	Stop(ctx context.Context, to fleet.EndpointAddress, token uint64, stop fleet.Stop) fleet.Reply
-	Throttle(ctx context.Context, to fleet.EndpointAddress, token uint64, pace fleet.Throttle) fleet.Reply
-	RenewLease(ctx context.Context, to fleet.EndpointAddress, token uint64, hold fleet.LeaseRenewal) (fleet.Report, fleet.Reply)
+	Throttle(ctx context.Context, to fleet.EndpointAddress, token uint64, throttle fleet.Throttle) fleet.Reply
+	RenewLease(ctx context.Context, to fleet.EndpointAddress, token uint64, renewal fleet.LeaseRenewal) (fleet.Report, fleet.Reply)
 }
 
 // EndpointList is the platform's list of endpoints.
@@ -33,9 +33,9 @@
 	StartMaintenance(ctx context.Context, token uint64, host fleet.HostID, wave int64) fleet.ChangeOutcome
 }
 
-// Advice is the service that tells which endpoints may run a step.
+// Advice requests tickets for a step's endpoints from the advice service.
 type Advice interface {
-	Ask(ctx context.Context, ask fleet.AdviceRequest) (fleet.AdviceGrant, error)
+	Request(ctx context.Context, request fleet.AdviceRequest) (fleet.AdviceGrant, error)
 }
 
 // Feed reads tables and follows their changes.
@@ -205,7 +205,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.leader.Largest()
+	return t.leader.MaxHostResources()
 }
 
 // Waiting implements member.Fleet.
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	fleetPart := control.New(control.Config{Store: node.Store(), Endpoints: endpoints, ...})
-//	node := member.New(member.Config{Won: fleetPart.Lead, ...})
-//	fleetPart.Run(ctx) // returns after ctx and the last leadership term have ended
+//	fleetControl := control.New(control.Config{Store: node.Store(), Endpoints: endpoints, ...})
+//	node := member.New(member.Config{Won: fleetControl.Lead, ...})
+//	fleetControl.Run(ctx) // returns after ctx and the last leadership term have ended
 package control
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -20,10 +20,10 @@
 	// maxHostCalls the number of concurrent calls to the host interface.
 	maxChangesPerTxn = 40
 	maxHostCalls     = 6
-	// adviceQueueSize is the number of queries that may wait for the advice service.
+	// adviceQueueSize is the number of requests that may wait for the advice service.
 	adviceQueueSize = 64
-	// adviceWorkers is the number of concurrent queries: the service answers one
-	// at a time for each host, and refuses queries when 32 are waiting.
+	// adviceWorkers is the number of concurrent requests: the service answers one
+	// at a time for each host, and refuses requests when 32 are waiting.
 	adviceWorkers = 4
 	// hostListInterval and busyHostListInterval are the times between two
 	// listings of the hosts, without and with changes in progress.
@@ -55,24 +55,24 @@
 	}
 }
 
-// queueAdviceQuery queues a query, and reports it as failed if the queue is
+// queueAdviceRequest queues a request, and reports it as failed if the queue is
 // full; t.mu must be held.
-func (t *term) queueAdviceQuery(query fleet.AdviceRequest) {
+func (t *term) queueAdviceRequest(request fleet.AdviceRequest) {
 	select {
-	case t.adviceQueries <- query:
+	case t.adviceRequests <- request:
 	default:
-		t.leader.HandleAdvice(query, fleet.AdviceGrant{}, false, time.Now())
+		t.leader.HandleAdvice(request, fleet.AdviceGrant{}, false, time.Now())
 	}
 }
 
 // reportHostChange reports a change's outcome to the leader; t.mu must be held.
-func (t *term) reportHostChange(done hostOrder, outcome fleet.ChangeOutcome) {
+func (t *term) reportHostChange(change hostOrder, outcome fleet.ChangeOutcome) {
 	now := time.Now()
-	if done.move != nil {
-		t.leader.HandleMoveReply(*done.move, outcome, now)
+	if change.move != nil {
+		t.leader.HandleMoveReply(*change.move, outcome, now)
 		return
 	}
-	t.leader.HandleMaintenanceReply(*done.maintenance, outcome, now)
+	t.leader.HandleMaintenanceReply(*change.maintenance, outcome, now)
 }
 
 // hostLoop executes host changes, after it has recorded the hosts in the store:
@@ -175,25 +175,25 @@
 	}
 }
 
-// adviceLoop sends the queued queries to the advice service.
+// adviceLoop sends the queued requests to the advice service.
 func (t *term) adviceLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case query := <-t.adviceQueries:
-			queryCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
-			granted, err := t.config.Advice.Ask(queryCtx, query)
+		case request := <-t.adviceRequests:
+			requestCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
+			grant, err := t.config.Advice.Request(requestCtx, request)
 			cancel()
 			t.locked(func() {
-				t.leader.HandleAdvice(query, granted, err == nil, time.Now())
+				t.leader.HandleAdvice(request, grant, err == nil, time.Now())
 			})
 			t.requestStep()
 		}
 	}
 }
 
-// adviceTimeout bounds a query, including the time it waits in the service
+// adviceTimeout bounds a request, including the time it waits in the service
 // behind earlier ones. The service needs the queue's configured advice time for
 // each endpoint.
 const adviceTimeout = 10 * time.Second
--- a/internal/control/term.go
+++ b/internal/control/term.go
@@ -61,7 +61,7 @@
 	// wakeStep wakes stepLoop, wakeBatch wakes batchLoop.
 	wakeStep, wakeBatch chan struct{}
 	hostOrders          chan hostOrder
-	adviceQueries       chan fleet.AdviceRequest
+	adviceRequests      chan fleet.AdviceRequest
 	lookups             chan job.ID
 }
 
@@ -73,7 +73,7 @@
 		}),
 		sessions: map[fleet.EndpointID]*endpointSession{},
 		wakeStep: make(chan struct{}, 1), wakeBatch: make(chan struct{}, 1),
-		hostOrders: make(chan hostOrder, hostOrderQueueSize), adviceQueries: make(chan fleet.AdviceRequest, adviceQueueSize),
+		hostOrders: make(chan hostOrder, hostOrderQueueSize), adviceRequests: make(chan fleet.AdviceRequest, adviceQueueSize),
 		lookups: make(chan job.ID, lookupQueueSize),
 	}
 	t.writer = newWriter(writerConfig{
@@ -244,8 +244,8 @@
 			// The leader requests the lookup again.
 		}
 	}
-	for _, query := range orders.AdviceRequests {
-		t.queueAdviceQuery(query)
+	for _, request := range orders.AdviceRequests {
+		t.queueAdviceRequest(request)
 	}
 	for _, move := range orders.Moves {
 		t.queueHostOrder(hostOrder{move: &move})
--- a/internal/control/writer_test.go
+++ b/internal/control/writer_test.go
@@ -107,7 +107,7 @@
 	}
 	store.loseNextAnswer = true
 	if w.commit(ctx, progressTxn("abandoned"), false) {
-		t.Fatal("commit without an answer: got done, want not known")
+		t.Fatal("commit without an answer: got done, want unknown")
 	}
 	store.applyPending(ctx)
 	if !w.commit(ctx, progressTxn("new"), true) {
--- a/internal/fleet/accounting.go
+++ b/internal/fleet/accounting.go
@@ -26,11 +26,11 @@
 		return
 	}
 	task := r.key.task
-	left := slices.DeleteFunc(r.job.active[task], func(other *run) bool { return other == r })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(r.job.active[task], func(other *run) bool { return other == r })
+	if len(remaining) == 0 {
 		delete(r.job.active, task)
 	} else {
-		r.job.active[task] = left
+		r.job.active[task] = remaining
 	}
 	account := r.job.submission.Account
 	l.inUse[account] = l.inUse[account].Minus(r.capUsage())
--- a/internal/fleet/advice.go
+++ b/internal/fleet/advice.go
@@ -22,7 +22,7 @@
 	if !ok || queue.Advice == nil {
 		return true
 	}
-	if g.step.grant != nil && now.Before(g.step.grantExpiresAt) {
+	if g.step.tickets != nil && now.Before(g.step.ticketsExpireAt) {
 		return true
 	}
 	if g.step.adviceRequested && now.Sub(g.step.adviceRequestedAt) < adviceRetryDelay {
@@ -41,7 +41,7 @@
 		return false
 	}
 	g.step.adviceRequested, g.step.adviceRequestedAt = true, now
-	g.step.grant = nil
+	g.step.tickets = nil
 	orders.AdviceRequests = append(orders.AdviceRequests, request)
 	return false
 }
@@ -61,6 +61,6 @@
 		return
 	}
 	step.adviceRequested = false
-	step.grant = grant.Tickets
-	step.grantExpiresAt = now.Add(grant.TicketLifetime - ticketMargin)
+	step.tickets = grant.Tickets
+	step.ticketsExpireAt = now.Add(grant.TicketLifetime - ticketMargin)
 }
--- a/internal/fleet/allocation_test.go
+++ b/internal/fleet/allocation_test.go
@@ -13,8 +13,8 @@
 		want  []int
 	}{
 		"enough for all":                    {total: 30, needs: [][tierCount]int{{4, 8, 8, 10}, {4, 4, 12, 20}}, want: []int{10, 20}},
-		"a late backlog waits for the rest": {total: 40, needs: [][tierCount]int{{4, 4, 30, 400}, {4, 30, 30, 30}}, want: []int{10, 30}},
-		"work of no use waits for late one": {total: 40, needs: [][tierCount]int{{4, 4, 4, 400}, {4, 10, 30, 30}}, want: []int{10, 30}},
+		"late work waits for work on time":  {total: 40, needs: [][tierCount]int{{4, 4, 30, 400}, {4, 30, 30, 30}}, want: []int{10, 30}},
+		"too late work waits for late work": {total: 40, needs: [][tierCount]int{{4, 4, 4, 400}, {4, 10, 30, 30}}, want: []int{10, 30}},
 		"small needs are met first":         {total: 40, needs: [][tierCount]int{{4, 100, 100, 100}, {4, 6, 6, 6}}, want: []int{34, 6}},
 		"equals share evenly":               {total: 40, needs: [][tierCount]int{{4, 100, 100, 100}, {4, 90, 90, 90}}, want: []int{20, 20}},
 		"too few for the minimum":           {total: 5, needs: [][tierCount]int{{4, 4, 4, 4}, {4, 4, 4, 4}}, want: []int{3, 2}},
--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -47,10 +47,10 @@
 		if step.Persistent {
 			continue
 		}
-		each := step.Reserved()
+		perTask := step.Reserved()
 		taskSeconds := float64(step.Count) * l.durationsOf(j.submission.Queue).mean(step.Estimate).Seconds()
-		work.cpu += float64(each.CPU) * taskSeconds
-		work.memory += float64(each.Memory) * taskSeconds
+		work.cpu += float64(perTask.CPU) * taskSeconds
+		work.memory += float64(perTask.Memory) * taskSeconds
 	}
 	h := l.arrivalHistoryOf(l.poolOf(j))
 	h.arrivals = append(h.arrivals, work)
--- a/internal/fleet/backlog_test.go
+++ b/internal/fleet/backlog_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Pattern: turns-beyond-the-pool. A job without slack waits for one that has some.
+// Pattern: turns-beyond-the-pool. A job without slack waits for one that has slack.
 func TestJobsStartWithSlack(t *testing.T) {
 	s := newSimulation(t, simulationConfig{})
 	s.addEndpoint("a")
@@ -118,12 +118,12 @@
 	}
 	s.renewLease("more-0")
 	if starts := s.step().Starts; len(starts) != 1 || starts[0].Endpoint != "more-0" {
-		t.Errorf("starts: got %v, want the task that waits, on the host that is free", starts)
+		t.Errorf("starts: got %v, want the waiting task, on the host with free capacity", starts)
 	}
 }
 
-// Pattern: hopeless-jobs-among-good. Jobs that are too late to be of any use go after
-// those that can be on time, however long they have waited.
+// Pattern: hopeless-jobs-among-good. Jobs that are too late to have any value start
+// after those that can be on time, however long they have waited.
 func TestTooLateJobsGoLast(t *testing.T) {
 	s := newSimulation(t, simulationConfig{})
 	s.addEndpoint("a")
@@ -142,7 +142,7 @@
 	}
 	for _, start := range starts {
 		if start.Task.Job != jobID(101) && start.Task.Job != jobID(102) {
-			t.Errorf("start: got one of %v, want those of the good jobs alone", start.Task.Job)
+			t.Errorf("start: got one of %v, want only those of the on-time jobs", start.Task.Job)
 		}
 	}
 }
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -32,7 +32,7 @@
 		s.ended[start.Endpoint] = nil
 		s.renewLease(start.Endpoint)
 		if n%100 == 0 {
-			// Forget jobs that ended long ago, as the owner does when it deletes their rows.
+			// Forget jobs that ended long ago, as package control does once it has deleted their rows.
 			s.advance(time.Hour)
 			s.leader.ForgetJobs(s.leader.ExpiredJobs(s.now, 100))
 		}
--- a/internal/fleet/completion.go
+++ b/internal/fleet/completion.go
@@ -19,23 +19,23 @@
 		return false
 	}
 	e.lastRead = completion.Number
-	batch := l.applyEnd(e, completion, now)
+	batch := l.applyCompletion(e, completion, now)
 	e.unpersisted = append(e.unpersisted, unpersistedCompletion{number: completion.Number, batch: batch})
 	return true
 }
 
-// applyEnd applies a completion. It returns the number of the batch that has to be
+// applyCompletion applies a completion. It returns the number of the batch that has to be
 // written before the completion may be acknowledged, or 0.
-func (l *Leader) applyEnd(e *endpoint, completion Completion, now time.Time) uint64 {
+func (l *Leader) applyCompletion(e *endpoint, completion Completion, now time.Time) uint64 {
 	key := runKey{completion.Task, completion.Run}
-	known := e.runs[key]
+	r := e.runs[key]
 	var took time.Duration
-	if known != nil {
-		took = now.Sub(known.orderedAt)
+	if r != nil {
+		took = now.Sub(r.orderedAt)
 		if completion.Checkpoint == "" {
-			completion.Checkpoint = known.checkpoint
+			completion.Checkpoint = r.checkpoint
 		}
-		l.untrackRun(known)
+		l.untrackRun(r)
 	}
 	j := l.jobs[completion.Task.Job]
 	if j == nil {
@@ -89,9 +89,9 @@
 		task.Index = index
 		changed = j.progress.MarkDone(task) || changed
 		j.dropPending(task)
-		for _, copied := range slices.Clone(j.active[task]) {
+		for _, duplicate := range slices.Clone(j.active[task]) {
 			if !step.Gang {
-				l.stopRun(copied, "another run of the task has completed", now)
+				l.stopRun(duplicate, "another run of the task has completed", now)
 			}
 		}
 	}
@@ -144,8 +144,8 @@
 	return batch
 }
 
-// suspect counts a failure against an endpoint. After consecutive failures of
-// several jobs, the endpoint gets no work for a while.
+// suspect counts a failed or overdue run against an endpoint. After consecutive
+// ones of several jobs, the endpoint gets no work for a while.
 func (l *Leader) suspect(e *endpoint, id job.ID, now time.Time) {
 	if e.failureStreak.jobs == nil {
 		e.failureStreak.jobs = map[job.ID]bool{}
--- a/internal/fleet/durations_test.go
+++ b/internal/fleet/durations_test.go
@@ -35,10 +35,10 @@
 			}
 			got := model.median(c.estimate)
 			if ratio := float64(got) / float64(c.want); ratio < 0.7 || ratio > 1.4 {
-				t.Errorf("typical duration: got %v, want about %v", got, c.want)
+				t.Errorf("median duration: got %v, want about %v", got, c.want)
 			}
 			if mean := model.mean(c.estimate); mean < got {
-				t.Errorf("mean duration: got %v, want at least the typical %v", mean, got)
+				t.Errorf("mean duration: got %v, want at least the median %v", mean, got)
 			}
 		})
 	}
@@ -49,23 +49,23 @@
 func TestInflowDetectsBurstEarly(t *testing.T) {
 	start := time.Unix(1000, 0)
 	tests := map[string]struct {
-		every, after     time.Duration
-		minRate, maxRate float64
+		interval, elapsed time.Duration
+		minRate, maxRate  float64
 	}{
-		"a second of slow arrivals": {every: 200 * time.Millisecond, after: time.Second, minRate: 4, maxRate: 6},
-		"early in a burst":          {every: 10 * time.Millisecond, after: 300 * time.Millisecond, minRate: 55, maxRate: 100},
-		"well into a burst":         {every: 10 * time.Millisecond, after: 1100 * time.Millisecond, minRate: 90, maxRate: 101},
+		"a second of slow arrivals": {interval: 200 * time.Millisecond, elapsed: time.Second, minRate: 4, maxRate: 6},
+		"early in a burst":          {interval: 10 * time.Millisecond, elapsed: 300 * time.Millisecond, minRate: 55, maxRate: 100},
+		"well into a burst":         {interval: 10 * time.Millisecond, elapsed: 1100 * time.Millisecond, minRate: 90, maxRate: 101},
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
 			var r arrivalHistory
 			now := start
-			for ; now.Sub(start) < c.after; now = now.Add(c.every) {
+			for ; now.Sub(start) < c.elapsed; now = now.Add(c.interval) {
 				r.arrivals = append(r.arrivals, arrival{at: now, cpu: 1000})
 			}
 			got := float64(r.inflow(now).CPU) / 1000 / inflowMargin
 			if got < c.minRate || got > c.maxRate {
-				t.Errorf("inflow: got %.1f jobs a second, want %v to %v", got, c.minRate, c.maxRate)
+				t.Errorf("inflow: got %.1f jobs per second, want %v to %v", got, c.minRate, c.maxRate)
 			}
 		})
 	}
--- a/internal/fleet/endpointstate.go
+++ b/internal/fleet/endpointstate.go
@@ -150,9 +150,9 @@
 	return e.leaseUntil
 }
 
-// leaseOver reports whether the latest lease has expired, even if the endpoint's clock
+// leaseExpired reports whether the latest lease has expired, even if the endpoint's clock
 // is as slow as maxClockDrift allows.
-func (e *endpoint) leaseOver(now time.Time) bool {
+func (e *endpoint) leaseExpired(now time.Time) bool {
 	minClock := e.clock + time.Duration(float64(now.Sub(e.clockAt))*(1-maxClockDrift))
 	return minClock > e.leaseUntil+leaseMargin
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -32,7 +32,7 @@
 
 // Journal records the decisions that explain what happened to a request.
 type Journal interface {
-	// Note records one decision, with alternating names and values.
+	// Info records one decision, with alternating names and values.
 	Info(event string, fields ...any)
 }
 
@@ -83,7 +83,8 @@
 	confirmedAt time.Time
 	// overdueCheckedAt is when overdue runs were last searched for.
 	overdueCheckedAt time.Time
-	// live holds the jobs that are not over; jobs keeps the others to report their states.
+	// live holds the jobs that have not ended; jobs also keeps those that have, to report
+	// their states.
 	live map[job.ID]*jobState
 	// loaded is true once all rows from before the takeover are known.
 	loaded     bool
@@ -129,14 +130,14 @@
 }
 
 // allRunsKnown reports whether no endpoint can have an unknown run of an earlier
-// leader: each endpoint was reached, or its lease has expired.
+// leader: each endpoint has been reached, or its lease has expired.
 func (l *Leader) allRunsKnown(now time.Time) bool {
 	if !l.loaded {
 		return false
 	}
 	for _, e := range l.endpoints {
 		if e.blocked {
-			// It runs a task of a job that is being looked up.
+			// The endpoint reports a job that is still being looked up.
 			return false
 		}
 	}
@@ -176,8 +177,8 @@
 
 // leaseDuration returns the length of the leases that the leader grants.
 func (l *Leader) leaseDuration() time.Duration {
-	if most := l.config.Bounds.MaxLease; most > 0 {
-		return min(leaseTarget, most)
+	if maxLease := l.config.Bounds.MaxLease; maxLease > 0 {
+		return min(leaseTarget, maxLease)
 	}
 	return leaseTarget
 }
--- a/internal/fleet/hosts_test.go
+++ b/internal/fleet/hosts_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// Only the endpoint holds an unacknowledged completion, so that its host must stay.
+// An unacknowledged completion exists only on its endpoint, whose host must not be moved.
 func TestHostsWithUnpersistedCompletionsAreNotMoved(t *testing.T) {
 	s := newSimulation(t, simulationConfig{})
 	extra := newHost(poolName, "extra")
@@ -159,7 +159,7 @@
 	}
 	moves := s.step().Moves
 	if len(moves) != 1 || moves[0].Host != "spare-01" {
-		t.Fatalf("moves: got %v, want that of the host that was not announced", moves)
+		t.Fatalf("moves: got %v, want that of the host without a recent change", moves)
 	}
 	s.advance(5 * time.Second)
 	if got := len(s.step().Moves); got != 1 {
@@ -229,29 +229,29 @@
 		}
 	}
 	if moved == 0 {
-		t.Error("hosts brought for those that are emptied: got none, want some")
+		t.Error("moves to the pool while its hosts are drained: got none, want some")
 	}
 }
 
 // Pattern: upkeep-at-the-peak. A wave takes hosts that no pool needs, and otherwise no
 // more at once than are needed to end in time.
 func TestWaveWaitsForFreeHosts(t *testing.T) {
-	const atOnce, spares = 6, 12
+	const maxDown, spares = 6, 12
 	tests := map[string]struct {
-		jobs   int
-		within time.Duration
+		jobs      int
+		timeLimit time.Duration
 		// minStarted and maxStarted bound the maintenance orders of one step.
 		minStarted, maxStarted int
 	}{
-		"nothing to do":        {within: time.Minute, minStarted: atOnce, maxStarted: atOnce},
-		"peak, and time":       {jobs: 40, within: time.Minute, minStarted: 1, maxStarted: atOnce / 2},
-		"peak, and hardly any": {jobs: 40, within: 10 * time.Second, minStarted: atOnce, maxStarted: atOnce},
+		"nothing to do":     {timeLimit: time.Minute, minStarted: maxDown, maxStarted: maxDown},
+		"peak, much time":   {jobs: 40, timeLimit: time.Minute, minStarted: 1, maxStarted: maxDown / 2},
+		"peak, little time": {jobs: 40, timeLimit: 10 * time.Second, minStarted: maxDown, maxStarted: maxDown},
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t, simulationConfig{})
 			hosts := baseHosts()
-			row := fleet.WaveRow{Number: 1, MaxDown: atOnce, TimeLimit: c.within}
+			row := fleet.WaveRow{Number: 1, MaxDown: maxDown, TimeLimit: c.timeLimit}
 			for n := range spares {
 				hosts = append(hosts, spareHost(n))
 				row.Hosts = append(row.Hosts, spareHost(n).ID)
@@ -278,7 +278,7 @@
 	}
 	s.advance(8 * time.Second)
 	if got := len(s.step().Maintenance); got != 1 {
-		t.Errorf("maintenance orders after its leases are over: got %d, want 1", got)
+		t.Errorf("maintenance orders after its leases have expired: got %d, want 1", got)
 	}
 }
 
@@ -318,7 +318,7 @@
 	s.renewLease("a")
 	s.renewLease("b")
 	if got := len(s.step().Stops); got != 1 {
-		t.Errorf("stops once it is at work: got %d, want 1", got)
+		t.Errorf("stops once it runs at full speed: got %d, want 1", got)
 	}
 }
 
@@ -341,7 +341,7 @@
 	s.renewLease("a")
 	s.renewLease("b")
 	if got := len(s.step().Stops); got != 1 {
-		t.Errorf("stops once the other is known to be at work: got %d, want 1", got)
+		t.Errorf("stops once the other is known to run at full speed: got %d, want 1", got)
 	}
 }
 
@@ -411,10 +411,10 @@
 	s.submit(submission(1, tasks(2)))
 	dump := s.leader.Dump()
 	if len(dump.Endpoints) != 1 || len(dump.Jobs) != 1 || dump.Jobs[0].Pending != 2 || dump.Jobs[0].ID != jobID(1) {
-		t.Errorf("dump: got %+v, want an endpoint and a job with two tasks that wait", dump)
+		t.Errorf("dump: got %+v, want an endpoint and a job with two pending tasks", dump)
 	}
-	if got := s.leader.Largest(); got != endpointSize {
-		t.Errorf("largest: got %v, want %v", got, endpointSize)
+	if got := s.leader.MaxHostResources(); got != endpointSize {
+		t.Errorf("host resources: got %v, want %v", got, endpointSize)
 	}
 	if got := s.leader.Waiting()[queueName]; got != 1 {
 		t.Errorf("waiting: got %d, want 1", got)
--- a/internal/fleet/jobstate.go
+++ b/internal/fleet/jobstate.go
@@ -50,9 +50,9 @@
 	openedAt  time.Time
 	// took holds the durations of successful runs.
 	took []time.Duration
-	// grant holds the advice service's tickets, which are valid until grantExpiresAt.
-	grant             map[EndpointID]string
-	grantExpiresAt    time.Time
+	// tickets holds the advice service's tickets, which are used until ticketsExpireAt.
+	tickets           map[EndpointID]string
+	ticketsExpireAt   time.Time
 	adviceRequested   bool
 	adviceRequestedAt time.Time
 	// waitLoggedAt is when the reason for the wait was last logged.
--- a/internal/fleet/leader_test.go
+++ b/internal/fleet/leader_test.go
@@ -284,16 +284,16 @@
 	crashed := s.step().Starts[0].Endpoint
 	s.acceptStarts()
 	s.renewLease(crashed)
-	left := map[fleet.EndpointID]fleet.EndpointID{"a": "b", "b": "a"}[crashed]
+	survivor := map[fleet.EndpointID]fleet.EndpointID{"a": "b", "b": "a"}[crashed]
 	s.advance(100 * time.Millisecond)
 	s.leader.RenewalFailed(crashed, fleet.Reply{Outcome: fleet.OrderUnknown}, s.now)
 	s.leader.UpdateHosts([]fleet.Host{
-		{ID: "m1", Pool: poolName, State: fleet.HostUp, Endpoint: left, Capacity: endpointSize},
+		{ID: "m1", Pool: poolName, State: fleet.HostUp, Endpoint: survivor, Capacity: endpointSize},
 		{ID: "m2", Pool: poolName, State: fleet.HostDown, Capacity: endpointSize},
 	}, s.now, s.now)
 	starts := s.step().Starts
-	if len(starts) != 1 || starts[0].Endpoint != left {
-		t.Errorf("starts: got %v, want one on %s", starts, left)
+	if len(starts) != 1 || starts[0].Endpoint != survivor {
+		t.Errorf("starts: got %v, want one on %s", starts, survivor)
 	}
 }
 
@@ -388,9 +388,9 @@
 func TestStartOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		outcome fleet.OrderOutcome
-		// again is how many starts follow within a second, with a second endpoint available.
-		again int
-		lost  bool
+		// retries is how many starts follow within a second, with a second endpoint available.
+		retries int
+		lost    bool
 	}{
 		"accepted":    {fleet.OrderAccepted, 0, false},
 		"stale run":   {fleet.OrderStaleRun, 1, false},
@@ -415,10 +415,10 @@
 			}
 			s.advance(1100 * time.Millisecond)
 			starts := s.step().Starts
-			if len(starts) != c.again {
-				t.Fatalf("starts: got %d, want %d", len(starts), c.again)
+			if len(starts) != c.retries {
+				t.Fatalf("starts: got %d, want %d", len(starts), c.retries)
 			}
-			if c.again == 1 && starts[0].Run <= start.Run {
+			if c.retries == 1 && starts[0].Run <= start.Run {
 				t.Errorf("run: got %d, want above %d", starts[0].Run, start.Run)
 			}
 		})
@@ -443,8 +443,8 @@
 func TestInheritedJobsWaitForEachEndpoint(t *testing.T) {
 	stored := fleet.StoredJob{Submission: submission(1, tasks(1))}
 	setups := map[string]struct {
-		do   func(s *simulation)
-		want int
+		prepare func(s *simulation)
+		want    int
 	}{
 		"one endpoint not reached": {func(s *simulation) { s.leader.UpdateEndpoint(endpointRow("b"), s.now) }, 0},
 		"all endpoints reached": {func(s *simulation) {
@@ -459,7 +459,7 @@
 			s.advance(time.Millisecond)
 			s.leader.UpdateHosts([]fleet.Host{{ID: "m1", Pool: poolName, State: fleet.HostUp, Endpoint: "a", Capacity: endpointSize}}, s.now, s.now)
 		}, 1},
-		"inherited leases are over": {func(s *simulation) {
+		"inherited leases expired": {func(s *simulation) {
 			s.leader.UpdateEndpoint(endpointRow("b"), s.now)
 			s.advance(8 * time.Second)
 		}, 1},
@@ -468,7 +468,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t, simulationConfig{token: 2, jobs: []fleet.StoredJob{stored}})
 			s.addEndpoint("a")
-			setup.do(s)
+			setup.prepare(s)
 			starts := s.step().Starts
 			if got := len(starts); got != setup.want {
 				t.Fatalf("starts: got %d, want %d", got, setup.want)
@@ -523,7 +523,7 @@
 	s.listHostsOf("a")
 	starts := s.step().Starts
 	if len(starts) != 1 || starts[0].Task.Index != 1 {
-		t.Errorf("starts: got %v, want the other task's alone", starts)
+		t.Errorf("starts: got %v, want only the other task's", starts)
 	}
 }
 
@@ -670,7 +670,7 @@
 	s.leader.CancelJob(jobID(2), s.now)
 	s.submit(submission(2, tasks(1)))
 	if got := len(s.step().Starts); got != 0 {
-		t.Errorf("starts of a job whose cancel came first: got %d, want 0", got)
+		t.Errorf("starts of a job that was cancelled before it was added: got %d, want 0", got)
 	}
 	s.writeBatches()
 	if got, _ := s.leader.StateOf(jobID(2)); got != job.Cancelled {
@@ -720,10 +720,10 @@
 		counts[start.Task.Job]++
 	}
 	if got := counts[jobID(20)]; got != 8 {
-		t.Errorf("starts of the calm account: got %d, want 8", got)
+		t.Errorf("starts of the other account: got %d, want 8", got)
 	}
 	if len(counts) != 4 {
-		t.Errorf("jobs begun: got %d, want 4: three of the flood within its share, and the calm one", len(counts))
+		t.Errorf("jobs started: got %d, want 4: three of the flood within its share, and the other account's", len(counts))
 	}
 }
 
@@ -807,12 +807,12 @@
 	scheduled.Times, scheduled.Start, scheduled.Interval = 2, s.now.Add(time.Second), 500*time.Millisecond
 	s.submit(scheduled)
 	if got := len(s.step().Starts); got != 0 {
-		t.Errorf("starts before the time: got %d, want 0", got)
+		t.Errorf("starts before the due time: got %d, want 0", got)
 	}
 	s.advance(time.Second)
 	s.renewLease("a")
 	if got := len(s.step().Starts); got != 1 {
-		t.Errorf("starts at the time: got %d, want 1", got)
+		t.Errorf("starts at the due time: got %d, want 1", got)
 	}
 	s.acceptStarts()
 	s.advance(600 * time.Millisecond)
--- a/internal/fleet/move.go
+++ b/internal/fleet/move.go
@@ -101,7 +101,7 @@
 		return
 	}
 	l.hosts.shortageLoggedAt = now
-	l.log("pool lacks hosts", "pool", need.pool, "have", need.have, "need", need.need, "givers", donors)
+	l.log("pool lacks hosts", "pool", need.pool, "have", need.have, "need", need.need, "donors", donors)
 }
 
 // shortageLogInterval is the time between two logs of shortages.
@@ -445,8 +445,9 @@
 	return nil
 }
 
-// Largest returns the maximum of each resource over all hosts and endpoints.
-func (l *Leader) Largest() policy.Resources {
+// MaxHostResources returns, per resource, the largest amount that a single host or
+// endpoint has.
+func (l *Leader) MaxHostResources() policy.Resources {
 	var largest policy.Resources
 	add := func(capacity policy.Resources) {
 		largest.CPU = max(largest.CPU, capacity.CPU)
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -28,8 +28,8 @@
 	if !step.Reserved().FitsIn(candidate.available) || !candidate.endpoint.hasLabel(step.Requires) {
 		return false
 	}
-	if g.step.grant != nil {
-		if _, ok := g.step.grant[candidate.endpoint.row.ID]; !ok {
+	if g.step.tickets != nil {
+		if _, ok := g.step.tickets[candidate.endpoint.row.ID]; !ok {
 			return false
 		}
 	}
@@ -47,22 +47,23 @@
 	return count
 }
 
-// Weights of an endpoint's score; the larger ones outweigh all smaller ones together.
+// Weights of an endpoint's score. In absolute value, each exceeds the sum of all
+// smaller ones, including the fraction of reserved CPU, which counts at most 1.
 const (
-	scoreUntried    = 1000
+	scoreNotAvoided = 1000
 	scoreAffinity   = 100
 	scorePersistent = 10
 	scoreCold       = -50
 )
 
-// score prefers, in this order, endpoints on which the task has not failed, that are
-// on the step's preferred rack, that are warmed up, that must stay in the pool for
+// score prefers, in this order, endpoints on which the task has not failed or been
+// overdue, that are on the step's preferred rack, that are warmed up, that must stay in the pool for
 // their persistent tasks, and that are fullest.
 func (g taskGroup) score(task job.Task, candidate *candidateEndpoint) float64 {
 	e := candidate.endpoint
 	score := 0.0
 	if !slices.Contains(g.job.avoid[task], e.row.ID) {
-		score += scoreUntried
+		score += scoreNotAvoided
 	}
 	if g.step.step.Affinity != "" && e.hasLabel(g.step.step.Affinity) {
 		score += scoreAffinity
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -109,13 +109,13 @@
 // criticalPath estimates the duration of a job's longest chain of steps.
 func (l *Leader) criticalPath(j *jobState) time.Duration {
 	var longest time.Duration
-	ends := make([]time.Duration, len(j.submission.Steps))
+	endTimes := make([]time.Duration, len(j.submission.Steps))
 	for i, step := range j.submission.Steps {
 		for _, predecessor := range step.After {
-			ends[i] = max(ends[i], ends[predecessor])
+			endTimes[i] = max(endTimes[i], endTimes[predecessor])
 		}
-		ends[i] += l.durationOf(j, step)
-		longest = max(longest, ends[i])
+		endTimes[i] += l.durationOf(j, step)
+		longest = max(longest, endTimes[i])
 	}
 	return longest
 }
--- a/internal/fleet/recentmax_test.go
+++ b/internal/fleet/recentmax_test.go
@@ -7,8 +7,8 @@
 
 func TestRecentMax(t *testing.T) {
 	type sample struct {
-		after  time.Duration
-		sample int
+		after time.Duration
+		value int
 	}
 	tests := map[string]struct {
 		samples []sample
@@ -27,7 +27,7 @@
 			now, got := time.Unix(1000, 0), 0
 			for _, f := range c.samples {
 				now = now.Add(f.after)
-				got = m.observe(f.sample, now)
+				got = m.observe(f.value, now)
 			}
 			if got != c.want {
 				t.Errorf("recent maximum: got %d, want %d", got, c.want)
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -64,7 +64,7 @@
 	}
 	e.pausedUntil = now.Add(unhealthyPause)
 	e.unresponsive = true
-	if e.clockAt.IsZero() || !e.leaseOver(now) {
+	if e.clockAt.IsZero() || !e.leaseExpired(now) {
 		return
 	}
 	for _, r := range e.runs {
@@ -131,8 +131,8 @@
 			l.stopRun(r, "start was not answered", now)
 		}
 	case runStopping:
-		isSure := !r.wasUnconfirmed && !r.answeredAt.IsZero() && r.answeredAt.Before(sentAt)
-		if isSure || !r.stopAcceptedAt.IsZero() && r.stopAcceptedAt.Before(sentAt) {
+		hasStarted := !r.wasUnconfirmed && !r.answeredAt.IsZero() && r.answeredAt.Before(sentAt)
+		if hasStarted || !r.stopAcceptedAt.IsZero() && r.stopAcceptedAt.Before(sentAt) {
 			l.runLost(r, "endpoint no longer reports the run", now)
 		}
 	}
--- a/internal/fleet/reply.go
+++ b/internal/fleet/reply.go
@@ -61,7 +61,7 @@
 		e.pausedUntil = now.Add(unhealthyPause)
 	case OrderInvalidTicket:
 		if step := r.job.steps[job.StepKey{Occurrence: r.key.task.Occurrence, Step: r.key.task.Step}]; step != nil {
-			step.grant, step.adviceRequested = nil, false
+			step.tickets, step.adviceRequested = nil, false
 		}
 	case OrderMalformed:
 		notBefore = now.Add(time.Second)
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -36,14 +36,14 @@
 	}
 	l.evacuate(now)
 	for _, e := range l.endpoints {
-		l.stopsOn(e, &orders, now)
+		l.orderStops(e, &orders, now)
 		l.throttleBestEffort(e, &orders, now)
 	}
 	return orders
 }
 
-// stopsOn orders the stops that are due on an endpoint.
-func (l *Leader) stopsOn(e *endpoint, orders *Orders, now time.Time) {
+// orderStops orders the stops that are due on an endpoint.
+func (l *Leader) orderStops(e *endpoint, orders *Orders, now time.Time) {
 	for _, r := range e.runs {
 		if r.state != runStopping || now.Before(r.stopAt) {
 			continue
@@ -107,7 +107,7 @@
 		cause = "the client account is at its cap"
 	case len(candidates) == 0:
 		cause = "no endpoint of the pool accepts work"
-	case g.step.grant == nil && g.step.adviceRequested:
+	case g.step.tickets == nil && g.step.adviceRequested:
 		cause = "waiting for the advice service"
 	}
 	l.log("tasks wait", "job", g.job.submission.ID, "step", g.step.key.Step, "tasks", len(g.step.pending), "cause", cause,
@@ -170,17 +170,17 @@
 		l.startGang(g, candidates, orders, now)
 		return
 	}
-	var left []int
+	var remaining []int
 	for i, index := range g.step.pending {
 		if !l.underCap(g.job.submission.Account, g.step.step.Resources, 1) {
-			left = append(left, g.step.pending[i:]...)
+			remaining = append(remaining, g.step.pending[i:]...)
 			break
 		}
 		task := g.job.taskAt(g.step.key, index)
 		target := l.choose(g, task, candidates)
 		if target == nil {
 			// The same limits apply to the other tasks of the step.
-			left = append(left, g.step.pending[i:]...)
+			remaining = append(remaining, g.step.pending[i:]...)
 			if fitsNowhere(g.step.step.Reserved(), candidates) {
 				unplaceable.add(g.step.step.Reserved())
 			}
@@ -188,7 +188,7 @@
 		}
 		l.start(g, task, target, l.nextRun(g.job, task), orders, now)
 	}
-	g.step.pending = left
+	g.step.pending = remaining
 }
 
 // taskAt returns the identifier of a step's task.
@@ -230,7 +230,7 @@
 	}
 	orders.Starts = append(orders.Starts, Start{
 		Endpoint: e.row.ID, Task: task, Run: number, Spec: g.job.submission.Spec, Lease: e.nextLease(now, l.leaseDuration()),
-		Checkpoint: r.checkpoint, Ticket: g.step.grant[e.row.ID],
+		Checkpoint: r.checkpoint, Ticket: g.step.tickets[e.row.ID],
 	})
 	l.log("run start", "job", task.Job, "step", task.Step, "index", task.Index, "run", number, "endpoint", e.row.ID,
 		"endpoint-seen-ago", now.Sub(e.reportedAt).Round(time.Millisecond).String(), "waited", now.Sub(g.step.openedAt).Round(time.Millisecond).String())
--- a/internal/fleet/wave.go
+++ b/internal/fleet/wave.go
@@ -96,7 +96,7 @@
 			due = append(due, h)
 		}
 	}
-	if known > 0 && down == 0 && l.allHostsBegun(wave) {
+	if known > 0 && down == 0 && l.allMaintenanceBegun(wave) {
 		wave.complete, wave.dirty = true, true
 		l.log("wave complete", "wave", wave.row.Number, "took", now.Sub(wave.listedAt).Round(time.Millisecond).String())
 		return 0
@@ -137,16 +137,16 @@
 // minWaveConcurrency returns how many hosts have to be down at once for the wave to
 // end within waveTimeFraction of its time limit.
 func (l *Leader) minWaveConcurrency(wave *waveState, due int, now time.Time) int {
-	left := time.Duration(waveTimeFraction*float64(wave.row.TimeLimit)) - now.Sub(wave.listedAt)
+	remaining := time.Duration(waveTimeFraction*float64(wave.row.TimeLimit)) - now.Sub(wave.listedAt)
 	perHost := l.config.Bounds.Maintenance + drainTime
-	if left < perHost {
+	if remaining < perHost {
 		return due
 	}
-	return int(math.Ceil(float64(due) * perHost.Seconds() / left.Seconds()))
+	return int(math.Ceil(float64(due) * perHost.Seconds() / remaining.Seconds()))
 }
 
-// allHostsBegun reports whether the maintenance of all the wave's hosts has begun.
-func (l *Leader) allHostsBegun(wave *waveState) bool {
+// allMaintenanceBegun reports whether the maintenance of all the wave's hosts has begun.
+func (l *Leader) allMaintenanceBegun(wave *waveState) bool {
 	for _, id := range wave.row.Hosts {
 		h := l.hosts.byID[id]
 		if h != nil && h.listed && !wave.done[id] {
