--- a/internal/fleet/move.go
+++ b/internal/fleet/move.go
@@ -359,8 +359,8 @@
 	return count
 }
 
-// drainSurplus gives no more work to a pool's surplus hosts, those with the fewest
-// runs, so that they can be moved once their completions are written. When hosts are
+// drainSurplus excludes a pool's surplus hosts, those with the fewest runs, from new
+// work, so that they can be moved once their completions are written. When hosts are
 // short, pending tasks would otherwise refill such a host as soon as it is empty.
 func (l *Leader) drainSurplus(needs []*poolNeed) {
 	for _, need := range needs {
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -19,7 +19,7 @@
 	remainingMarginFraction = 0.25
 )
 
-// lateness tells whether a job that starts now can still meet its objective.
+// lateness is whether a job that starts now can still meet its objective.
 type lateness int
 
 const (
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	handler := ingress.New(ingress.Config{Policy: holder, Jobs: jobs, Fleet: fleet, Codec: codec, Journal: journal})
+//	handler := ingress.New(ingress.Config{Policy: holder, Store: store, Fleet: fleet, Codec: codec, Journal: journal})
 //	server.Handler = handler
 //	handler.Run(ctx) // writes accepted jobs until ctx ends
 //
@@ -42,8 +42,9 @@
 	defaultMaxBodyBytes = 256 << 10
 )
 
-// PolicyHolder returns the configuration in force, or nil.
+// PolicyHolder holds the operators' configuration.
 type PolicyHolder interface {
+	// Current returns the configuration in force, or nil.
 	Current() *policy.Policy
 }
 
@@ -133,19 +134,19 @@
 func (i *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	c, refusal := i.match(r, started)
-	answer := refusal
+	response := refusal
 	if c != nil {
 		ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
-		answer = i.serve(ctx, w, c)
+		response = i.serve(ctx, w, c)
 		cancel()
 	}
-	i.logRequest(r, c, answer, started)
+	i.logRequest(r, c, response, started)
 	w.Header().Set("Content-Type", i.config.Codec.ContentType())
-	if answer.retryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(max(1, answer.retryAfter.Round(time.Second)/time.Second))))
+	if response.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(max(1, response.retryAfter.Round(time.Second)/time.Second))))
 	}
-	w.WriteHeader(answer.status)
-	if _, err := w.Write(answer.body); err != nil {
+	w.WriteHeader(response.status)
+	if _, err := w.Write(response.body); err != nil {
 		i.config.Journal.Info("response not delivered", "path", r.URL.Path, "error", err.Error())
 	}
 }
@@ -308,7 +309,7 @@
 }
 
 // logRequest logs the request and updates the metrics.
-func (i *Ingress) logRequest(r *http.Request, c *call, answer reply, started time.Time) {
+func (i *Ingress) logRequest(r *http.Request, c *call, response reply, started time.Time) {
 	// Without a queue the request is identified by the last element of its path,
 	// truncated.
 	id := path.Base(r.URL.Path)
@@ -318,14 +319,14 @@
 		queue, id, version = c.queue.Name, string(c.id), c.policy.Version
 	}
 	took := time.Since(started)
-	metrics.GetOrCreateCounter(`requests_total{method="` + methodLabel(r.Method) + `",status="` + strconv.Itoa(answer.status) + `"}`).Inc()
+	metrics.GetOrCreateCounter(`requests_total{method="` + methodLabel(r.Method) + `",status="` + strconv.Itoa(response.status) + `"}`).Inc()
 	metrics.GetOrCreateHistogram(`request_seconds{method="` + methodLabel(r.Method) + `"}`).Update(took.Seconds())
-	isRead := r.Method == http.MethodGet && answer.status == http.StatusOK
+	isRead := r.Method == http.MethodGet && response.status == http.StatusOK
 	if isRead {
 		return
 	}
-	i.config.Journal.Info("request answered", "request-id", id, "queue", queue, "method", r.Method, "status", answer.status,
-		"reason", answer.reason, "configuration", version, "took", took.Round(100*time.Microsecond).String())
+	i.config.Journal.Info("request answered", "request-id", id, "queue", queue, "method", r.Method, "status", response.status,
+		"reason", response.reason, "configuration", version, "took", took.Round(100*time.Microsecond).String())
 }
 
 // methodLabel returns a method's metrics label; unknown methods share one, which
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -176,7 +176,7 @@
 func TestNoConfigurationYet(t *testing.T) {
 	got := newTestIngress(t, nil).call("POST", path, "k1", oneTask)
 	if got.Code != 503 || got.Header().Get("Retry-After") == "" {
-		t.Errorf("answer: got %d with Retry-After %q, want 503 with one", got.Code, got.Header().Get("Retry-After"))
+		t.Errorf("response: got %d with Retry-After %q, want 503 with one", got.Code, got.Header().Get("Retry-After"))
 	}
 }
 
@@ -197,7 +197,7 @@
 	b.store.SetFaults(table.Faults{Down: true})
 	got := b.call("POST", path, "k1", oneTask)
 	if got.Code != 503 || got.Header().Get("Retry-After") == "" {
-		t.Errorf("answer: got %d with Retry-After %q, want 503 with one", got.Code, got.Header().Get("Retry-After"))
+		t.Errorf("response: got %d with Retry-After %q, want 503 with one", got.Code, got.Header().Get("Retry-After"))
 	}
 	b.store.SetFaults(table.Faults{})
 	rows, err := b.store.Get(context.Background(), record.JobKey(someID))
@@ -263,7 +263,7 @@
 			}
 			got := b.call("GET", path, "k1", "")
 			if got.Code != 200 || got.Body.String() != c.want {
-				t.Errorf("answer: got %d %s, want 200 %s", got.Code, got.Body, c.want)
+				t.Errorf("response: got %d %s, want 200 %s", got.Code, got.Body, c.want)
 			}
 		})
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -76,10 +76,10 @@
 			submission.Steps = append(submission.Steps, job.Step{Count: rapid.IntRange(1, 20).Draw(t, "count")})
 		}
 		progress := job.NewProgress()
-		ended := rapid.Permutation(allTasks(submission)).Draw(t, "order")
-		for i, task := range ended {
+		order := rapid.Permutation(allTasks(submission)).Draw(t, "order")
+		for i, task := range order {
 			if got := progress.AllDone(submission); got {
-				t.Fatalf("complete after %d of %d tasks", i, len(ended))
+				t.Fatalf("complete after %d of %d tasks", i, len(order))
 			}
 			if !progress.MarkDone(task) {
 				t.Fatalf("first completion of %v: got recorded before, want new", task)
@@ -118,14 +118,14 @@
 func TestFailedRunsAreCountedOnce(t *testing.T) {
 	progress := job.NewProgress()
 	task := job.Task{Job: testID}
-	if got, news := progress.MarkFailed(task, 1); got != 1 || !news {
-		t.Errorf("first: got %d (%t), want 1 and new", got, news)
+	if got, added := progress.MarkFailed(task, 1); got != 1 || !added {
+		t.Errorf("first: got %d (%t), want 1 and new", got, added)
 	}
-	if got, news := progress.MarkFailed(task, 1); got != 1 || news {
-		t.Errorf("again: got %d (%t), want 1 and not new", got, news)
+	if got, added := progress.MarkFailed(task, 1); got != 1 || added {
+		t.Errorf("repeated: got %d (%t), want 1 and not new", got, added)
 	}
-	if got, news := progress.MarkFailed(task, 2); got != 2 || !news {
-		t.Errorf("second: got %d (%t), want 2 and new", got, news)
+	if got, added := progress.MarkFailed(task, 2); got != 2 || !added {
+		t.Errorf("second: got %d (%t), want 2 and new", got, added)
 	}
 }
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -28,9 +28,9 @@
 )
 
 const (
-	// maxLinesPerKind limits the lines per event and second; the busiest
+	// maxLinesPerEvent limits the lines per event and second; the busiest
 	// deployment starts about 300 tasks per second.
-	maxLinesPerKind = 400
+	maxLinesPerEvent = 400
 	// lineBufferSize is the capacity of the queue between loggers and Run, in lines.
 	lineBufferSize = 4096
 	// drainTimeout bounds the writing of queued lines after the context ends.
@@ -120,7 +120,7 @@
 		j.reportOmitted()
 	}
 	j.lineCounts[event]++
-	if j.lineCounts[event] > maxLinesPerKind {
+	if j.lineCounts[event] > maxLinesPerEvent {
 		return
 	}
 	j.emit(level, event, fields)
@@ -128,9 +128,9 @@
 
 // reportOmitted logs how many lines of each event the last second omitted.
 func (j *Journal) reportOmitted() {
-	for _, kind := range slices.Sorted(maps.Keys(j.lineCounts)) {
-		if omitted := j.lineCounts[kind] - maxLinesPerKind; omitted > 0 {
-			j.emit(log.WarnLevel, "lines omitted", []any{"kind", kind, "count", omitted})
+	for _, event := range slices.Sorted(maps.Keys(j.lineCounts)) {
+		if omitted := j.lineCounts[event] - maxLinesPerEvent; omitted > 0 {
+			j.emit(log.WarnLevel, "lines omitted", []any{"kind", event, "count", omitted})
 		}
 	}
 	clear(j.lineCounts)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -39,10 +39,10 @@
 		j.Info("leadership won")
 	})
 	if n := strings.Count(got, `"run start"`); n >= 3000 {
-		t.Errorf("lines of one kind: got %d, want fewer than were logged", n)
+		t.Errorf("lines of one event: got %d, want fewer than were logged", n)
 	}
 	if !strings.Contains(got, `"leadership won"`) {
-		t.Error("line of another kind: got none, want one")
+		t.Error("line of another event: got none, want one")
 	}
 }
 
@@ -66,7 +66,7 @@
 	logged := make(chan struct{})
 	go func() {
 		for n := range 20_000 {
-			j.Info("kind " + string(rune('a'+n%26)))
+			j.Info("event " + string(rune('a'+n%26)))
 		}
 		close(logged)
 	}()
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -89,8 +89,9 @@
 
 // Account is a client account with its keys and resource cap.
 type Account struct {
-	Name   string
-	Keys   []string
+	Name string
+	Keys []string
+	// Weight is the account's share of submissions, in jobs per second; 0 means no limit.
 	Weight float64
 	// Cap bounds the resources in use across all pools; a zero field means no limit.
 	Cap Resources
