--- a/internal/member/claim.go
+++ b/internal/member/claim.go
@@ -12,7 +12,7 @@
 
 // join writes this process's member row and reads the other members' rows.
 func (n *Node) join(ctx context.Context) {
-	self := record.Member{Name: n.config.Name, Address: n.config.Address, Processor: n.config.Processor}
+	self := record.Member{Name: n.config.Name, Address: n.config.Address, CPUCores: n.config.CPUCores}
 	err := n.config.Store.Commit(ctx, table.Txn{Writes: []table.Write{{Key: record.MemberKey(self.Name), Value: record.Encode(self)}}})
 	n.observeStore(err)
 	if err != nil {
@@ -105,15 +105,15 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	isAnswer := err == nil || table.IsConflict(err)
-	was := n.storeOKAt.After(n.storeFailedAt)
-	if isAnswer {
+	isReached := err == nil || table.IsConflict(err)
+	wasReached := n.storeOKAt.After(n.storeFailedAt)
+	if isReached {
 		n.storeOKAt = now
 	} else {
 		n.storeFailedAt = now
 	}
-	if was != isAnswer {
-		n.config.Journal.Info("store reached", "reached", isAnswer)
+	if wasReached != isReached {
+		n.config.Journal.Info("store reached", "reached", isReached)
 	}
 }
 
--- a/internal/member/leadership.go
+++ b/internal/member/leadership.go
@@ -77,11 +77,11 @@
 	claim, sinceHeard := n.claim, time.Since(n.leaderHeardAt)
 	sinceRenewal := time.Since(n.renewedAt)
 	n.mu.Unlock()
-	isOpen := claim.Token == 0 || claim.Released || claim.Name == n.config.Name
-	if !isOpen && sinceHeard <= leaderTimeout {
+	isVacant := claim.Token == 0 || claim.Released || claim.Name == n.config.Name
+	if !isVacant && sinceHeard <= leaderTimeout {
 		return
 	}
-	if !isOpen && !n.peersLostLeader(ctx, sinceRenewal) {
+	if !isVacant && !n.peersLostLeader(ctx, sinceRenewal) {
 		return
 	}
 	n.claimLeadership(ctx)
@@ -98,7 +98,7 @@
 	}
 	stronger := 0
 	for _, member := range n.members {
-		if member.Processor > n.config.Processor {
+		if member.CPUCores > n.config.CPUCores {
 			stronger++
 		}
 	}
@@ -111,7 +111,7 @@
 // leader's last claim renewal decides.
 func (n *Node) peersLostLeader(ctx context.Context, sinceRenewal time.Duration) bool {
 	answered := 0
-	for _, member := range n.otherMembers() {
+	for _, member := range n.others() {
 		view, err := n.fetchView(ctx, member.Address)
 		if err != nil {
 			continue
@@ -123,7 +123,7 @@
 			return false
 		}
 	}
-	return answered > 0 || sinceRenewal > renewalTimeout || len(n.otherMembers()) == 0
+	return answered > 0 || sinceRenewal > renewalTimeout || len(n.others()) == 0
 }
 
 // claimLeadership writes a claim for this process, on the condition that the
@@ -203,7 +203,7 @@
 	token := n.claim.Token
 	n.mu.Unlock()
 	isPeerReachable := false
-	for _, member := range n.otherMembers() {
+	for _, member := range n.others() {
 		view, err := n.fetchView(ctx, member.Address)
 		if err != nil {
 			continue
@@ -235,8 +235,8 @@
 	if termAge < minTermBeforeYield {
 		return false
 	}
-	for _, member := range n.otherMembers() {
-		if member.Processor < yieldFactor*n.config.Processor {
+	for _, member := range n.others() {
+		if member.CPUCores < yieldFactor*n.config.CPUCores {
 			// Members are sorted by CPU, strongest first.
 			return false
 		}
@@ -283,7 +283,7 @@
 	if err != nil {
 		n.config.Journal.Info("leadership claim not released", "error", err.Error())
 	}
-	for _, member := range n.otherMembers() {
+	for _, member := range n.others() {
 		callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 		_, err := n.dialer.dial(member.Address).Lead(callCtx, &memberpb.LeadRequest{Token: claim.Token})
 		cancel()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -97,8 +97,8 @@
 	return newProcessWithCPU(t, name, store, 1)
 }
 
-// newProcessWithCPU starts a process with a share of a CPU core.
-func newProcessWithCPU(t *testing.T, name string, store table.Store, processor float64) *process {
+// newProcessWithCPU starts a process with the given number of CPU cores.
+func newProcessWithCPU(t *testing.T, name string, store table.Store, cpuCores float64) *process {
 	t.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 	p := &process{address: netip.MustParseAddrPort(socket.Addr().String()), blockableStore: &blockableStore{Store: store}, ended: make(chan struct{})}
 	p.node = member.New(member.Config{
-		Name: name, Address: netip.MustParseAddrPort(socket.Addr().String()), Store: p.blockableStore, Journal: discardJournal{}, Processor: processor,
+		Name: name, Address: netip.MustParseAddrPort(socket.Addr().String()), Store: p.blockableStore, Journal: discardJournal{}, CPUCores: cpuCores,
 		Won: func(_ context.Context, claim record.Claim, _ uint64) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -242,11 +242,11 @@
 	middling := newProcessWithCPU(t, "c", store, 0.3)
 	strong.kill()
 	next := waitForLeader(t, 1, weak, middling)
-	again := newProcessWithCPU(t, "a", store, 0.8)
-	waitForLeader(t, next.latestToken(), again)
+	restarted := newProcessWithCPU(t, "a", store, 0.8)
+	waitForLeader(t, next.latestToken(), restarted)
 	time.Sleep(3 * time.Second)
-	if !again.leads() {
-		t.Error("strong process leads: got false after a while, want true")
+	if !restarted.leads() {
+		t.Error("strong process leads: got false 3 s after its takeover, want true")
 	}
 }
 
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -54,18 +54,18 @@
 type Config struct {
 	Name    string
 	Address netip.AddrPort
-	// Processor is this process's share of a CPU core: processes with more take
-	// over first.
-	Processor float64
+	// CPUCores is the number of CPU cores that this process may use, such as 0.8:
+	// processes with more take over first.
+	CPUCores float64
 	// Seeds are addresses of peers to use before the store has answered; they
 	// may be stale.
 	Seeds   []netip.AddrPort
 	Store   table.Store
 	Journal Journal
 	// Won is called when this process becomes the leader, and must return at
-	// once; the leadership ends with ctx. PolicyVersion returns the version of
-	// the newest configuration.
-	Won           func(ctx context.Context, claim record.Claim, version uint64)
+	// once; the leadership ends with ctx.
+	Won func(ctx context.Context, claim record.Claim, version uint64)
+	// PolicyVersion returns the version of the newest configuration.
 	PolicyVersion func() uint64
 	// MaxHostResources returns, per resource, the largest amount that a single
 	// host has, or zeros while this process does not lead.
@@ -96,7 +96,7 @@
 	// that succeeded and failed.
 	storeOKAt, storeFailedAt time.Time
 	// renewalVersion is the version of the leader's renewal row, and renewedAt
-	// when this process last saw it change.
+	// when this process last observed a change of it.
 	renewalVersion uint64
 	renewedAt      time.Time
 	// storeExclusion is used by Run's goroutine only.
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -24,7 +24,8 @@
 
 // PolicyHolder is this process's copy of the operators' configuration.
 type PolicyHolder interface {
-	// Newer returns the configuration if it is newer than have.
+	// NewerThan returns the version in force, and the configuration if it is newer
+	// than have.
 	NewerThan(have uint64) (version uint64, value []byte)
 }
 
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -41,7 +41,7 @@
 		sinceHeard = 0
 	}
 	view := &memberpb.View{
-		From:  &memberpb.Address{Name: n.config.Name, Address: n.config.Address.String(), Processor: n.config.Processor},
+		From:  &memberpb.Address{Name: n.config.Name, Address: n.config.Address.String(), Processor: n.config.CPUCores},
 		Token: n.claim.Token, Leading: n.leading, StoreReached: n.storeOKAt.After(n.storeFailedAt),
 		LeaderHeardMs: sinceHeard.Milliseconds(), PolicyVersion: n.config.PolicyVersion(),
 	}
@@ -51,7 +51,7 @@
 	if n.leading {
 		view.LargestCpu, view.LargestMemory, view.LargestGpu = largest.CPU, largest.Memory, largest.GPU
 		for _, member := range n.members {
-			view.Members = append(view.Members, &memberpb.Address{Name: member.Name, Address: member.Address.String(), Processor: member.Processor})
+			view.Members = append(view.Members, &memberpb.Address{Name: member.Name, Address: member.Address.String(), Processor: member.CPUCores})
 		}
 	}
 	return view
@@ -93,7 +93,7 @@
 		return record.Member{}, false
 	}
 	parsed, err := netip.ParseAddrPort(address.Address)
-	return record.Member{Name: address.Name, Address: parsed, Processor: address.Processor}, err == nil
+	return record.Member{Name: address.Name, Address: parsed, CPUCores: address.Processor}, err == nil
 }
 
 // fetchView returns another process's view.
@@ -105,17 +105,17 @@
 
 // otherMembers returns the members except the leader and this process, those
 // with the most CPU first.
-func (n *Node) otherMembers() []record.Member {
+func (n *Node) others() []record.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var otherMembers []record.Member
+	var others []record.Member
 	for _, member := range n.members {
 		if member.Name != n.claim.Name {
-			otherMembers = append(otherMembers, member)
+			others = append(others, member)
 		}
 	}
-	slices.SortFunc(otherMembers, func(a, b record.Member) int { return cmp.Compare(b.Processor, a.Processor) })
-	return otherMembers
+	slices.SortFunc(others, func(a, b record.Member) int { return cmp.Compare(b.CPUCores, a.CPUCores) })
+	return others
 }
 
 // Peers returns all members except this process, or the seeds while no member
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -88,16 +88,16 @@
 // watchDropped returns a channel that is closed when the roster no longer
 // contains this process.
 func (p *process) watchDropped(ctx context.Context) <-chan struct{} {
-	gone := make(chan struct{})
+	dropped := make(chan struct{})
 	go func() {
 		for ctx.Err() == nil {
 			members, rowVersion := p.node.Roster()
 			if rowVersion > 0 && !members.Contains(p.node.Self().Identity) {
-				close(gone)
+				close(dropped)
 				return
 			}
 			sleep(ctx, time.Second)
 		}
 	}()
-	return gone
+	return dropped
 }
--- a/internal/process/feeds.go
+++ b/internal/process/feeds.go
@@ -25,12 +25,12 @@
 	// peerPolicyInterval is the time between two attempts to get a newer
 	// configuration from peers while the store does not answer.
 	peerPolicyInterval = 300 * time.Millisecond
-	// pushFanout is the number of peers that each process which has read a new
-	// configuration from the store notifies.
-	pushFanout = 6
+	// announceFanout is the number of peers to which a process announces a new
+	// configuration that it has read from the store.
+	announceFanout = 6
 	// hintDelay is the minimum delay, and half the maximum, between a hint and
-	// fetching the version from the peer: most processes read it from the store
-	// meanwhile.
+	// fetching the configuration from the peer: most processes read it from the
+	// store meanwhile.
 	hintDelay = 120 * time.Millisecond
 	// hintQueueSize is the number of hints that may wait.
 	hintQueueSize = 16
@@ -43,14 +43,14 @@
 	peerBatchSize = 2
 )
 
-// memberClaim is the claim row of a leader.
-type memberClaim = record.Claim
+// leadershipClaim is the claim row of a leader.
+type leadershipClaim = record.Claim
 
 // policyChanged applies a newer configuration, and announces it to peers if it
 // was read from the store.
-func (n *frontNode) policyChanged(current *policy.Policy, fresh bool) {
+func (n *nodeProcess) policyChanged(current *policy.Policy, fromStore bool) {
 	n.control.SetPolicy(current)
-	if !fresh {
+	if !fromStore {
 		return
 	}
 	select {
@@ -60,34 +60,34 @@
 	n.policyUpdates <- current.Version
 }
 
-// pushLoop announces configurations read from the store to peers, some of which
+// announceLoop announces configurations read from the store to peers, some of which
 // may not reach the store.
-func (n *frontNode) pushLoop(ctx context.Context) {
+func (n *nodeProcess) announceLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case version := <-n.policyUpdates:
-			n.push(ctx, version)
+			n.announce(ctx, version)
 		}
 	}
 }
 
-// push announces a configuration to some peers.
-func (n *frontNode) push(ctx context.Context, version uint64) {
+// announce announces a configuration version to some peers.
+func (n *nodeProcess) announce(ctx context.Context, version uint64) {
 	peers := n.member.Peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	// In parallel: an unreachable peer must not delay the others.
 	callers := pool.New()
-	for _, peer := range peers[:min(len(peers), pushFanout)] {
-		callers.Go(func() { n.pushToPeer(ctx, peer, version) })
+	for _, peer := range peers[:min(len(peers), announceFanout)] {
+		callers.Go(func() { n.announceToPeer(ctx, peer, version) })
 	}
 	callers.Wait()
 }
 
-// pushToPeer announces a version to one peer, which fetches the configuration if
+// announceToPeer announces a version to one peer, which fetches the configuration if
 // it needs it.
-func (n *frontNode) pushToPeer(ctx context.Context, peer record.Member, version uint64) {
+func (n *nodeProcess) announceToPeer(ctx context.Context, peer record.Member, version uint64) {
 	callCtx, cancel := context.WithTimeout(ctx, hintCallTimeout)
 	defer cancel()
 	_, err := n.member.Dial(peer.Address).PolicyHint(callCtx, &memberpb.PolicyHintRequest{
@@ -106,7 +106,7 @@
 
 // queueHint queues a peer's hint if its version is newer. Hints that find the
 // queue full are dropped.
-func (n *frontNode) queueHint(version uint64, from record.Member) {
+func (n *nodeProcess) queueHint(version uint64, from record.Member) {
 	if version <= n.holder.Version() {
 		return
 	}
@@ -118,7 +118,7 @@
 
 // hintLoop fetches hinted configurations from peers, unless the store has
 // delivered them meanwhile.
-func (n *frontNode) hintLoop(ctx context.Context) {
+func (n *nodeProcess) hintLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -136,7 +136,7 @@
 }
 
 // operatorFeed follows the operators' rows in the store.
-func (n *frontNode) operatorFeed(ctx context.Context) {
+func (n *nodeProcess) operatorFeed(ctx context.Context) {
 	version, known := uint64(0), false
 	for ctx.Err() == nil {
 		var rows platform.OperatorUpdate
@@ -160,7 +160,7 @@
 }
 
 // applyOperatorRows applies changed operators' rows.
-func (n *frontNode) applyOperatorRows(rows platform.OperatorUpdate) {
+func (n *nodeProcess) applyOperatorRows(rows platform.OperatorUpdate) {
 	n.holder.Update(rows.Policy, policy.SourceStore)
 	for _, wave := range rows.Waves {
 		n.control.SetWave(wave)
@@ -168,7 +168,7 @@
 }
 
 // peerFeed asks peers for a newer configuration while the store does not answer.
-func (n *frontNode) peerFeed(ctx context.Context) {
+func (n *nodeProcess) peerFeed(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, peerPolicyInterval)
 		if n.member.StoreReached() {
@@ -204,7 +204,7 @@
 
 // fetchPolicy fetches the configuration from one peer. It reports whether it was
 // newer.
-func (n *frontNode) fetchPolicy(ctx context.Context, peer record.Member) bool {
+func (n *nodeProcess) fetchPolicy(ctx context.Context, peer record.Member) bool {
 	callCtx, cancel := context.WithTimeout(ctx, policyCallTimeout)
 	defer cancel()
 	have := n.holder.Version()
@@ -218,7 +218,7 @@
 }
 
 // dump returns the process's state for the operators' state dump.
-func (n *frontNode) dump() any {
+func (n *nodeProcess) dump() any {
 	leader, isSelf, known := n.member.Leader()
 	return struct {
 		Name          string          `json:"name"`
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -68,8 +68,8 @@
 	Journal *journal.Journal
 }
 
-// frontNode is a process that accepts callers' jobs and can lead the fleet.
-type frontNode struct {
+// nodeProcess is a process that accepts callers' jobs and can lead the fleet.
+type nodeProcess struct {
 	config   NodeConfig
 	settings platform.Settings
 	journal  *journal.Journal
@@ -86,36 +86,36 @@
 	hints chan hint
 }
 
-// RunNode runs a front node until ctx ends, and then stops it gracefully.
+// RunNode runs a node until ctx ends, and then stops it gracefully.
 func RunNode(ctx context.Context, config NodeConfig) error {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(float64(config.Settings.MemoryMiB) * heapLimitShare * (1 << 20)))
-	n := newFrontNode(config)
+	n := newNodeProcess(config)
 	n.journal.Info("start", "data-centre", n.settings.DataCentre, "callers", n.settings.Callers.String(),
 		"peers", n.settings.Peers.String(), "first-start", n.settings.Bootstrap)
 	if n.settings.OrdersByHeartbeat {
-		n.journal.Info("orders are sent by calls", "setting", "heartbeat", "why", "the platform's pages show no form for orders in answers to reports")
+		n.journal.Info("orders are sent by calls", "setting", "heartbeat", "why", "the platform's API defines no format for orders in heartbeat replies")
 	}
 	return n.run(ctx)
 }
 
-// newFrontNode creates the node's parts and connects them.
-func newFrontNode(config NodeConfig) *frontNode {
+// newNodeProcess creates the node's parts and connects them.
+func newNodeProcess(config NodeConfig) *nodeProcess {
 	settings := config.Settings
 	client := platform.NewClient(platform.ClientConfig{AckTimeout: ackTimeout, DialTimeout: connectTimeout})
-	n := &frontNode{
+	n := &nodeProcess{
 		config: config, settings: settings, journal: config.Journal, policyUpdates: make(chan uint64, 1),
 		hints: make(chan hint, hintQueueSize),
 	}
 	n.store = platform.NewStore(platform.StoreConfig{Client: client, Address: settings.Store, Timeout: storeTimeout})
-	unreadable := func(key string, err error) {
+	logDecodeError := func(key string, err error) {
 		n.journal.Info("row cannot be decoded", "key", key, "error", err.Error())
 	}
-	n.operator = platform.OperatorRows{Store: n.store, OnDecodeError: unreadable}
+	n.operator = platform.OperatorRows{Store: n.store, OnDecodeError: logDecodeError}
 	n.holder = policy.NewHolder(policy.HolderConfig{Decode: platform.DecodePolicy, OnChange: n.policyChanged, Journal: n.journal})
 	n.member = member.New(member.Config{
-		Name: settings.Name, Address: settings.Peers, Processor: settings.CPUCores, Seeds: settings.Seeds, Store: n.store, Journal: n.journal,
-		Won:              func(ctx context.Context, won memberClaim, version uint64) { n.control.Lead(ctx, won, version) },
+		Name: settings.Name, Address: settings.Peers, CPUCores: settings.CPUCores, Seeds: settings.Seeds, Store: n.store, Journal: n.journal,
+		Won:              func(ctx context.Context, won leadershipClaim, version uint64) { n.control.Lead(ctx, won, version) },
 		PolicyVersion:    n.holder.Version,
 		MaxHostResources: func() policy.Resources { return n.control.MaxHostResources() },
 	})
@@ -126,7 +126,7 @@
 	n.control = control.New(control.Config{
 		Store: n.member.Store(), Feed: n.store,
 		Endpoints:    platform.NewEndpoints(platform.EndpointsConfig{Client: client, Timeout: endpointTimeout}),
-		EndpointList: platform.EndpointList{Store: n.store, OnDecodeError: unreadable},
+		EndpointList: platform.EndpointList{Store: n.store, OnDecodeError: logDecodeError},
 		Hosts: platform.NewHosts(platform.HostsConfig{
 			Client: client, Address: settings.Hosts, Holder: settings.Name, Timeout: hostTimeout,
 		}),
@@ -142,7 +142,7 @@
 
 // observeStore records a feed's result. Lost history is an answer of the store
 // and doesn't count as a failure.
-func (n *frontNode) observeStore(err error) {
+func (n *nodeProcess) observeStore(err error) {
 	if errors.Is(err, table.ErrHistoryLost) {
 		err = nil
 	}
@@ -150,7 +150,7 @@
 }
 
 // run opens the ports and runs all loops until ctx ends.
-func (n *frontNode) run(ctx context.Context) error {
+func (n *nodeProcess) run(ctx context.Context) error {
 	// The loops outlive ctx, for a graceful shutdown.
 	workCtx, endWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer endWork()
@@ -164,7 +164,7 @@
 	group.Go(n.ingress.Run)
 	group.Go(n.operatorFeed)
 	group.Go(n.peerFeed)
-	group.Go(n.pushLoop)
+	group.Go(n.announceLoop)
 	group.Go(n.hintLoop)
 	for _, l := range listeners {
 		group.Go(l.serve)
@@ -187,7 +187,7 @@
 
 // stop shuts down gracefully: it reports not ready, releases the leadership,
 // waits until the load balancer has noticed, and drains the ports.
-func (n *frontNode) stop(listeners []*listener) {
+func (n *nodeProcess) stop(listeners []*listener) {
 	deadline := time.Now().Add(n.settings.Bounds.Grace - shutdownReserve)
 	n.journal.Info("stopping", "grace", n.settings.Bounds.Grace.String())
 	n.stopping.Store(true)
@@ -207,7 +207,7 @@
 
 // ready returns nil if the load balancer should send new connections, or the
 // reason why not.
-func (n *frontNode) ready() error {
+func (n *nodeProcess) ready() error {
 	if n.stopping.Load() {
 		return errDraining
 	}
@@ -227,7 +227,7 @@
 
 // listen opens all ports. A port that is in use is an error, which ends the
 // process.
-func (n *frontNode) listen(ctx context.Context) ([]*listener, error) {
+func (n *nodeProcess) listen(ctx context.Context) ([]*listener, error) {
 	readiness := httprouter.New()
 	readiness.GET(platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		if err := n.ready(); err != nil {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,14 +1,18 @@
-// Package process assembles the long-running programs from their settings:
-// stores, ports and nodes, and the order of startup and shutdown.
+// Package process assembles the long-running programs (entries, managers and the
+// nodes that lead a fleet) from their settings, and starts and stops them.
 //
 // # Usage
 //
 //	err := process.RunEntry(ctx, config, logger) // ends after ctx, gracefully
+//	err := process.RunManager(ctx, config, logger)
+//	err := process.RunNode(ctx, nodeConfig)
 //
-// Startup: the process opens the operations and peer ports, joins the roster, and
-// then opens its own port and is ready. Shutdown: it reports not ready, waits for
-// the load balancer, finishes the requests in flight, hands over permits and
-// claims, waits until the roster has dropped it, and exits.
+// Startup of an entry or a manager: it opens the operations and peer ports, joins
+// the roster, and then opens its own port and is ready. Shutdown: it reports not
+// ready, waits for the load balancer (entries only), finishes the requests in
+// flight, hands over permits and claims, waits until the roster has dropped it,
+// and exits. A node has no roster: at shutdown it reports not ready, releases the
+// leadership, waits for the load balancer and closes its ports.
 package process
 
 import (
@@ -38,8 +42,8 @@
 	// leavePollInterval is the time between two checks whether the roster has
 	// dropped a stopping process.
 	leavePollInterval = 50 * time.Millisecond
-	// handOverDivisor: the grace period divided by it is the time, besides a
-	// second, for handing over.
+	// handOverDivisor determines the time for handing over: the grace period
+	// divided by it, plus a second.
 	handOverDivisor = 4
 )
 
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -17,7 +17,7 @@
 
 // reloadLoop checks and logs changes of the settings file. Addresses and bounds
 // take effect at the next start of the process.
-func (n *frontNode) reloadLoop(ctx context.Context) {
+func (n *nodeProcess) reloadLoop(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -50,7 +50,7 @@
 }
 
 // reload decodes a changed settings file and logs whether it is valid.
-func (n *frontNode) reload(text []byte, cause string) {
+func (n *nodeProcess) reload(text []byte, cause string) {
 	settings, err := platform.DecodeSettings(text)
 	if err != nil {
 		n.journal.Info("reload", "cause", cause, "kept", true, "error", err.Error())
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -96,7 +96,7 @@
 	At time.Time `json:"at"`
 }
 
-// MemberKey returns the key of a member process.
+// MemberKey returns the key of a member process's row.
 func MemberKey(name string) string {
 	return MemberPrefix + name
 }
@@ -127,8 +127,8 @@
 type Member struct {
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
-	// Processor is the CPU share of the process, as a fraction of a core.
-	Processor float64 `json:"processor,omitempty"`
+	// CPUCores is the number of CPU cores that the process may use, such as 0.8.
+	CPUCores float64 `json:"processor,omitempty"`
 }
 
 // Wave is the progress of a maintenance wave.
