--- a/cmd/lovagedyke-experiment/cmd_run.go
+++ b/cmd/lovagedyke-experiment/cmd_run.go
@@ -38,39 +38,39 @@
 }
 
 func newPartCommand(out io.Writer, name string, parts []experiment.Part) *ffcli.Command {
-	var s options
+	var opts options
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
-	flags.IntVar(&s.seeds, "seeds", defaultSeeds, "runs of each policy in each scenario")
-	flags.StringVar(&s.deployment, "deployment", "both", "tanoa, ripustus or both")
-	flags.StringVar(&s.output, "output", "table", "table or json")
-	flags.StringVar(&s.plots, "plots", "", "directory for the share curves as PNG, none if empty")
+	flags.IntVar(&opts.seeds, "seeds", defaultSeeds, "runs of each policy in each scenario")
+	flags.StringVar(&opts.deployment, "deployment", "both", "tanoa, ripustus or both")
+	flags.StringVar(&opts.output, "output", "table", "table or json")
+	flags.StringVar(&opts.plots, "plots", "", "directory for the share curves as PNG, none if empty")
 	return &ffcli.Command{
 		Name:       name,
 		ShortUsage: fmt.Sprintf("lovagedyke-experiment %s [flags]", name),
 		ShortHelp:  fmt.Sprintf("measure %v", parts),
 		FlagSet:    flags,
-		Exec:       func(context.Context, []string) error { return s.run(out, parts) },
+		Exec:       func(context.Context, []string) error { return opts.run(out, parts) },
 	}
 }
 
-func (s options) run(out io.Writer, parts []experiment.Part) error {
-	if s.seeds < 1 {
-		return errors.Newf("--seeds is %d, want at least 1", s.seeds)
+func (o options) run(out io.Writer, parts []experiment.Part) error {
+	if o.seeds < 1 {
+		return errors.Newf("--seeds is %d, want at least 1", o.seeds)
 	}
-	if s.output != "table" && s.output != "json" {
-		return errors.Newf("--output is %q, want table or json", s.output)
+	if o.output != "table" && o.output != "json" {
+		return errors.Newf("--output is %q, want table or json", o.output)
 	}
-	deployments, err := chooseDeployments(s.deployment)
+	deployments, err := chooseDeployments(o.deployment)
 	if err != nil {
 		return err
 	}
-	report := experiment.Run(experiment.Config{Deployments: deployments, Parts: parts, Seeds: s.seeds})
-	if s.plots != "" {
-		if err := report.WritePlots(s.plots); err != nil {
+	report := experiment.Run(experiment.Config{Deployments: deployments, Parts: parts, Seeds: o.seeds})
+	if o.plots != "" {
+		if err := report.WritePlots(o.plots); err != nil {
 			return err
 		}
 	}
-	if s.output == "json" {
+	if o.output == "json" {
 		return report.WriteJSON(out)
 	}
 	return report.WriteTable(out)
--- a/cmd/lovagedyke/cmd_host.go
+++ b/cmd/lovagedyke/cmd_host.go
@@ -50,12 +50,12 @@
 }
 
 func setupHostDrain(flags *flag.FlagSet, env *Env) Action {
-	return setupHostChange(flags, env, func(ctx context.Context, managers *client.Client, args []string) (api.Host, error) {
+	return setupHostChange(flags, env, func(ctx context.Context, managerClient *client.Client, args []string) (api.Host, error) {
 		name, err := oneArgument(args, "a host")
 		if err != nil {
 			return api.Host{}, err
 		}
-		return managers.DrainHost(ctx, name, api.DrainRequest{Purpose: "maintenance"})
+		return managerClient.DrainHost(ctx, name, api.DrainRequest{Purpose: "maintenance"})
 	}, "drained")
 }
 
@@ -67,11 +67,11 @@
 }
 
 func setupHostMove(flags *flag.FlagSet, env *Env) Action {
-	return setupHostChange(flags, env, func(ctx context.Context, managers *client.Client, args []string) (api.Host, error) {
+	return setupHostChange(flags, env, func(ctx context.Context, managerClient *client.Client, args []string) (api.Host, error) {
 		if len(args) != 2 {
 			return api.Host{}, usagef("got %q, want a host and a pool", strings.Join(args, " "))
 		}
-		return managers.DrainHost(ctx, args[0], api.DrainRequest{Purpose: "move", Target: args[1]})
+		return managerClient.DrainHost(ctx, args[0], api.DrainRequest{Purpose: "move", Target: args[1]})
 	}, "serving")
 }
 
@@ -83,17 +83,17 @@
 }
 
 func setupHostReturn(flags *flag.FlagSet, env *Env) Action {
-	return setupHostChange(flags, env, func(ctx context.Context, managers *client.Client, args []string) (api.Host, error) {
+	return setupHostChange(flags, env, func(ctx context.Context, managerClient *client.Client, args []string) (api.Host, error) {
 		name, err := oneArgument(args, "a host")
 		if err != nil {
 			return api.Host{}, err
 		}
-		return managers.ReturnHost(ctx, name)
+		return managerClient.ReturnHost(ctx, name)
 	}, "serving")
 }
 
 // hostChangeFunc requests a change of a host from a manager.
-type hostChangeFunc func(ctx context.Context, managers *client.Client, args []string) (api.Host, error)
+type hostChangeFunc func(ctx context.Context, managerClient *client.Client, args []string) (api.Host, error)
 
 // setupHostChange registers the flags of a host change. With -wait, the command
 // returns once the host has reached the phase.
--- a/cmd/lovagedyke/cmd_test.go
+++ b/cmd/lovagedyke/cmd_test.go
@@ -55,34 +55,34 @@
 // testCLI runs commands against the operators' API of one in-memory manager.
 type testCLI struct {
 	store       *table.Memory
-	fakeFleet   *fakeFleet
+	fleet       *fakeFleet
 	environment map[string]string
 	dir         string
 }
 
 func newTestCLI(t *testing.T) *testCLI {
-	s := &testCLI{store: table.NewMemory(), fakeFleet: &fakeFleet{}, dir: t.TempDir()}
+	c := &testCLI{store: table.NewMemory(), fleet: &fakeFleet{}, dir: t.TempDir()}
 	committer := revision.NewCommitter(revision.CommitterConfig{
-		Store:   s.store,
+		Store:   c.store,
 		Replica: revision.NewReplica(revision.ReplicaConfig{}),
 		Ready:   func() bool { return true },
 		Guard:   func() []table.Condition { return nil },
 	})
 	server := httptest.NewServer(operator.New(operator.Config{
-		Store: s.store, Committer: committer, Fleet: s.fakeFleet, Records: s.fakeFleet,
+		Store: c.store, Committer: committer, Fleet: c.fleet, Records: c.fleet,
 		Keys: func() [][]byte { return [][]byte{[]byte(testKey)} },
 	}))
 	t.Cleanup(server.Close)
-	s.environment = map[string]string{
+	c.environment = map[string]string{
 		"LOVAGEDYKE_MANAGER":           server.Listener.Addr().String(),
-		"LOVAGEDYKE_OPERATOR_KEY_FILE": s.writeFile(t, "operator.key", testKey+"\n"),
+		"LOVAGEDYKE_OPERATOR_KEY_FILE": c.writeFile(t, "operator.key", testKey+"\n"),
 	}
-	return s
+	return c
 }
 
-func (s *testCLI) writeFile(t *testing.T, name, text string) string {
+func (c *testCLI) writeFile(t *testing.T, name, text string) string {
 	t.Helper()
-	path := filepath.Join(s.dir, name)
+	path := filepath.Join(c.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -90,18 +90,18 @@
 }
 
 // run returns the exit code and the output of a command.
-func (s *testCLI) run(args ...string) (code int, stdout, stderr string) {
+func (c *testCLI) run(args ...string) (code int, stdout, stderr string) {
 	var out, messages bytes.Buffer
-	env := &Env{Stdout: &out, Stderr: &messages, Getenv: func(name string) string { return s.environment[name] }}
+	env := &Env{Stdout: &out, Stderr: &messages, Getenv: func(name string) string { return c.environment[name] }}
 	code = run(context.Background(), env, commands, args)
 	return code, out.String(), messages.String()
 }
 
 // expect checks the exit code and that stdout or stderr contains want. It
 // returns stdout.
-func (s *testCLI) expect(t *testing.T, wantCode int, want string, args ...string) string {
+func (c *testCLI) expect(t *testing.T, wantCode int, want string, args ...string) string {
 	t.Helper()
-	code, stdout, stderr := s.run(args...)
+	code, stdout, stderr := c.run(args...)
 	if code != wantCode || !strings.Contains(stdout+stderr, want) {
 		t.Errorf("%s: got code %d, %q, %q, want code %d and %q", strings.Join(args, " "), code, stdout, stderr, wantCode, want)
 	}
@@ -111,34 +111,34 @@
 const catalogueText = "[team acme]\nupper-limit = 4\n[service orders]\nteam = acme\nlimit = 2\n"
 
 func TestOperatorCommands(t *testing.T) {
-	s := newTestCLI(t)
-	file := s.writeFile(t, "catalogue.ini", catalogueText)
-	s.expect(t, exitOK, "+ service orders", "catalogue", "apply", "-dry-run", file)
-	s.expect(t, exitOK, "accepted as revision 1", "catalogue", "apply", "-operation", "first", file)
-	s.expect(t, exitOK, "nothing to change, revision 1", "catalogue", "apply", "-operation", "first", file)
-	changed := s.writeFile(t, "changed.ini", strings.Replace(catalogueText, "limit = 2", "limit = 3", 1))
-	s.expect(t, exitOK, "~ service orders (limit: 2 -> 3)", "catalogue", "apply", "-wait", "1s", changed)
-	s.expect(t, exitConflict, "was used for another change", "catalogue", "apply", "-operation", "first", changed)
-	s.expect(t, exitOK, "limit = 3", "catalogue", "show", "orders")
-	s.expect(t, exitOK, "orders  service  acme", "catalogue", "list")
-
-	key := strings.TrimSpace(s.expect(t, exitOK, "in force on all 1 processes", "key", "give", "-wait", "1s", "acme"))
+	c := newTestCLI(t)
+	file := c.writeFile(t, "catalogue.ini", catalogueText)
+	c.expect(t, exitOK, "+ service orders", "catalogue", "apply", "-dry-run", file)
+	c.expect(t, exitOK, "accepted as revision 1", "catalogue", "apply", "-operation", "first", file)
+	c.expect(t, exitOK, "nothing to change, revision 1", "catalogue", "apply", "-operation", "first", file)
+	changed := c.writeFile(t, "changed.ini", strings.Replace(catalogueText, "limit = 2", "limit = 3", 1))
+	c.expect(t, exitOK, "~ service orders (limit: 2 -> 3)", "catalogue", "apply", "-wait", "1s", changed)
+	c.expect(t, exitConflict, "was used for another change", "catalogue", "apply", "-operation", "first", changed)
+	c.expect(t, exitOK, "limit = 3", "catalogue", "show", "orders")
+	c.expect(t, exitOK, "orders  service  acme", "catalogue", "list")
+
+	key := strings.TrimSpace(c.expect(t, exitOK, "in force on all 1 processes", "key", "give", "-wait", "1s", "acme"))
 	id := strings.Split(key, "_")[1]
-	keyList := s.expect(t, exitOK, "in-force", "key", "list")
+	keyList := c.expect(t, exitOK, "in-force", "key", "list")
 	if strings.Contains(keyList, key) {
 		t.Errorf("got the secret in %q", keyList)
 	}
-	s.fakeFleet.unconfirmed = true
-	s.expect(t, exitNotInForce, "not confirmed by entry-1", "key", "withdraw", "-wait", "50ms", id)
-	s.expect(t, exitOK, "withdrawn", "key", "list")
-	s.expect(t, exitOK, "accepted as revision 5", "catalogue", "remove", "orders")
-	s.expect(t, exitFailed, `"orders" is unknown`, "catalogue", "remove", "orders")
-
-	s.expect(t, exitOK, "entry-1  entry", "roster")
-	s.expect(t, exitOK, "c1      r1   orders", "charge", "trace", "c1")
-	s.expect(t, exitFailed, "no such record", "charge", "trace", "c2")
+	c.fleet.unconfirmed = true
+	c.expect(t, exitNotInForce, "not confirmed by entry-1", "key", "withdraw", "-wait", "50ms", id)
+	c.expect(t, exitOK, "withdrawn", "key", "list")
+	c.expect(t, exitOK, "accepted as revision 5", "catalogue", "remove", "orders")
+	c.expect(t, exitFailed, `"orders" is unknown`, "catalogue", "remove", "orders")
+
+	c.expect(t, exitOK, "entry-1  entry", "roster")
+	c.expect(t, exitOK, "c1      r1   orders", "charge", "trace", "c1")
+	c.expect(t, exitFailed, "no such record", "charge", "trace", "c2")
 	var runs []api.Run
-	if err := json.Unmarshal([]byte(s.expect(t, exitOK, "", "charge", "unproven", "-output", "json")), &runs); err != nil {
+	if err := json.Unmarshal([]byte(c.expect(t, exitOK, "", "charge", "unproven", "-output", "json")), &runs); err != nil {
 		t.Error(err)
 	}
 }
@@ -165,21 +165,21 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newTestCLI(t)
-			s.store.SetFaults(tc.faults)
+			c := newTestCLI(t)
+			c.store.SetFaults(tc.faults)
 			if tc.manager != "" {
-				s.environment["LOVAGEDYKE_MANAGER"] = tc.manager
+				c.environment["LOVAGEDYKE_MANAGER"] = tc.manager
 			}
-			s.expect(t, tc.wantCode, tc.want, tc.args...)
+			c.expect(t, tc.wantCode, tc.want, tc.args...)
 		})
 	}
 }
 
 func TestCheckReportsAllProblems(t *testing.T) {
-	s := newTestCLI(t)
-	settingsFile := s.writeFile(t, "s.ini", "[process]\nnam = a\n")
-	catalogueFile := s.writeFile(t, "c.ini", "[service a]\nteam = b\nlimit = x\n")
-	code, _, stderr := s.run("check", "-settings", settingsFile, "-role", "entry", catalogueFile)
+	c := newTestCLI(t)
+	settingsFile := c.writeFile(t, "s.ini", "[process]\nnam = a\n")
+	catalogueFile := c.writeFile(t, "c.ini", "[service a]\nteam = b\nlimit = x\n")
+	code, _, stderr := c.run("check", "-settings", settingsFile, "-role", "entry", catalogueFile)
 	if code != exitFailed {
 		t.Errorf("got code %d, want %d", code, exitFailed)
 	}
@@ -191,11 +191,11 @@
 }
 
 func TestExamplesAreValid(t *testing.T) {
-	s := newTestCLI(t)
+	c := newTestCLI(t)
 	t.Chdir(filepath.Join("..", "..", "examples"))
-	s.expect(t, exitOK, "no mistakes found", "check", "catalogue.ini")
+	c.expect(t, exitOK, "no mistakes found", "check", "catalogue.ini")
 	for _, role := range []string{"entry", "manager"} {
-		code, _, stderr := s.run("check", "-settings", role+".ini")
+		code, _, stderr := c.run("check", "-settings", role+".ini")
 		if lines := strings.Split(strings.TrimSpace(stderr), "\n"); code != exitFailed || len(lines) > 2 || !strings.Contains(stderr, "is unreadable") {
 			t.Errorf("%s.ini: got code %d, %q, want only missing secrets", role, code, stderr)
 		}
@@ -218,9 +218,9 @@
 
 // Setting -operator-authority turns TLS on.
 func TestTLS(t *testing.T) {
-	s := newTestCLI(t)
+	c := newTestCLI(t)
 	server := httptest.NewTLSServer(operator.New(operator.Config{
-		Fleet: s.fakeFleet,
+		Fleet: c.fleet,
 		Keys:  func() [][]byte { return [][]byte{[]byte(testKey)} },
 	}))
 	defer server.Close()
@@ -231,15 +231,15 @@
 		wantCode  int
 		want      string
 	}{
-		"signed":         {s.writeFile(t, "own.pem", string(certificate)), exitOK, "entry-1"},
-		"no certificate": {s.writeFile(t, "empty.pem", "x"), exitFailed, "holds no PEM certificate"},
+		"signed":         {c.writeFile(t, "own.pem", string(certificate)), exitOK, "entry-1"},
+		"no certificate": {c.writeFile(t, "empty.pem", "x"), exitFailed, "holds no PEM certificate"},
 		"missing file":   {"missing.pem", exitFailed, "no such file"},
 		"without TLS":    {"", exitFailed, "400"},
 	}
-	s.environment["LOVAGEDYKE_MANAGER"] = server.Listener.Addr().String()
+	c.environment["LOVAGEDYKE_MANAGER"] = server.Listener.Addr().String()
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s.expect(t, tc.wantCode, tc.want, "roster", "-operator-authority", tc.authority)
+			c.expect(t, tc.wantCode, tc.want, "roster", "-operator-authority", tc.authority)
 		})
 	}
 }
--- a/cmd/lovagedyke/cmd_wave.go
+++ b/cmd/lovagedyke/cmd_wave.go
@@ -60,11 +60,11 @@
 
 func setupWaveStart(flags *flag.FlagSet, env *Env) Action {
 	need := flags.Int("need", -1, "hosts that carry the pool's load")
-	return setupWaveChange(flags, env, func(ctx context.Context, managers *client.Client, pool string) (api.Wave, error) {
+	return setupWaveChange(flags, env, func(ctx context.Context, managerClient *client.Client, pool string) (api.Wave, error) {
 		if *need < 0 {
 			return api.Wave{}, usagef("flag -need is missing")
 		}
-		return managers.StartWave(ctx, api.WaveRequest{Pool: pool, Need: *need})
+		return managerClient.StartWave(ctx, api.WaveRequest{Pool: pool, Need: *need})
 	})
 }
 
@@ -76,8 +76,8 @@
 }
 
 func setupWaveResume(flags *flag.FlagSet, env *Env) Action {
-	return setupWaveChange(flags, env, func(ctx context.Context, managers *client.Client, pool string) (api.Wave, error) {
-		return managers.ResumeWave(ctx, pool)
+	return setupWaveChange(flags, env, func(ctx context.Context, managerClient *client.Client, pool string) (api.Wave, error) {
+		return managerClient.ResumeWave(ctx, pool)
 	})
 }
 
@@ -89,13 +89,13 @@
 }
 
 func setupWaveStop(flags *flag.FlagSet, env *Env) Action {
-	return setupWaveChange(flags, env, func(ctx context.Context, managers *client.Client, pool string) (api.Wave, error) {
-		return managers.StopWave(ctx, pool)
+	return setupWaveChange(flags, env, func(ctx context.Context, managerClient *client.Client, pool string) (api.Wave, error) {
+		return managerClient.StopWave(ctx, pool)
 	})
 }
 
 // waveChangeFunc requests a change of a pool's wave from a manager.
-type waveChangeFunc func(ctx context.Context, managers *client.Client, pool string) (api.Wave, error)
+type waveChangeFunc func(ctx context.Context, managerClient *client.Client, pool string) (api.Wave, error)
 
 func setupWaveChange(flags *flag.FlagSet, env *Env, change waveChangeFunc) Action {
 	var conn connectionFlags
--- a/cmd/lovagedyke/list.go
+++ b/cmd/lovagedyke/list.go
@@ -11,7 +11,7 @@
 // JSON.
 type listCommand[Value any] struct {
 	header []string
-	fetch  func(managers *client.Client, ctx context.Context) (Value, error)
+	fetch  func(managerClient *client.Client, ctx context.Context) (Value, error)
 	rows   func(value Value) [][]string
 }
 
--- a/test/soakprocess_test.go
+++ b/test/soakprocess_test.go
@@ -20,7 +20,7 @@
 	command *exec.Cmd
 }
 
-// Keep runs the node until ctx ends, and then kills it.
+// Supervise runs the node until ctx ends, and then kills it.
 func (p *soakProcess) Supervise(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := p.runOnce(ctx); err != nil {
