--- a/cmd/lovagedyke-standin/cmd_load.go
+++ b/cmd/lovagedyke-standin/cmd_load.go
@@ -22,8 +22,8 @@
 		return err
 	})
 	flags.Func("probe", "operations address of the target before it, to pass over it while it is not ready", func(text string) error {
-		probe, err := netip.ParseAddrPort(text)
-		cfg.ReadinessAddresses = append(cfg.ReadinessAddresses, probe)
+		address, err := netip.ParseAddrPort(text)
+		cfg.ReadinessAddresses = append(cfg.ReadinessAddresses, address)
 		return err
 	})
 	flags.StringVar(&cfg.Service, "service", "", "service to call")
--- a/cmd/lovagedyke/cgo.go
+++ b/cmd/lovagedyke/cgo.go
@@ -1,7 +1,6 @@
 package main
 
-// The platform runs programs that are linked with the C library, which importing
-// C links in.
+// Importing C links the program with the C library, as the platform requires.
 
 // #include <stdlib.h>
 import "C"
--- a/cmd/lovagedyke/flags.go
+++ b/cmd/lovagedyke/flags.go
@@ -20,16 +20,17 @@
 
 // connectionFlags holds the addresses and credentials for the managers.
 type connectionFlags struct {
-	managers, keyFile           string
-	authority, certificate, key string
+	managers, operatorKeyFile string
+	// PEM files for TLS.
+	authority, certificate, certificateKey string
 }
 
 func (c *connectionFlags) register(flags *flag.FlagSet, env *Env) {
 	flags.StringVar(&c.managers, "manager", env.Getenv("LOVAGEDYKE_MANAGER"), "operators' addresses of managers, separated by commas (LOVAGEDYKE_MANAGER)")
-	flags.StringVar(&c.keyFile, "operator-key-file", env.Getenv("LOVAGEDYKE_OPERATOR_KEY_FILE"), "file with the operator key (LOVAGEDYKE_OPERATOR_KEY_FILE)")
+	flags.StringVar(&c.operatorKeyFile, "operator-key-file", env.Getenv("LOVAGEDYKE_OPERATOR_KEY_FILE"), "file with the operator key (LOVAGEDYKE_OPERATOR_KEY_FILE)")
 	flags.StringVar(&c.authority, "operator-authority", env.Getenv("LOVAGEDYKE_OPERATOR_AUTHORITY"), "PEM certificates that sign managers; turns TLS on (LOVAGEDYKE_OPERATOR_AUTHORITY)")
 	flags.StringVar(&c.certificate, "operator-certificate", env.Getenv("LOVAGEDYKE_OPERATOR_CERTIFICATE"), "PEM certificate to present (LOVAGEDYKE_OPERATOR_CERTIFICATE)")
-	flags.StringVar(&c.key, "operator-key", env.Getenv("LOVAGEDYKE_OPERATOR_KEY"), "PEM key of the certificate (LOVAGEDYKE_OPERATOR_KEY)")
+	flags.StringVar(&c.certificateKey, "operator-key", env.Getenv("LOVAGEDYKE_OPERATOR_KEY"), "PEM key of the certificate (LOVAGEDYKE_OPERATOR_KEY)")
 }
 
 // client returns a client configured from the flags.
@@ -38,10 +39,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.keyFile == "" {
+	if c.operatorKeyFile == "" {
 		return nil, usagef("flag -operator-key-file is missing")
 	}
-	key, err := settings.ReadSecret(c.keyFile)
+	key, err := settings.ReadSecret(c.operatorKeyFile)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +68,7 @@
 	if c.certificate == "" {
 		return config, nil
 	}
-	keyPair, err := tls.LoadX509KeyPair(c.certificate, c.key)
+	keyPair, err := tls.LoadX509KeyPair(c.certificate, c.certificateKey)
 	config.Certificates = []tls.Certificate{keyPair}
 	return config, err
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -35,15 +35,15 @@
 func TestMaxMinBoundMatchesDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 100).Draw(t, "capacity")
-		weights, claims, demand := map[string]float64{}, []flowDemand{}, share.Demand{Entry: "e"}
+		weights, demands, demand := map[string]float64{}, []flowDemand{}, share.Demand{Entry: "e"}
 		for i := range 6 {
 			flow := share.Flow{Team: string(rune('a' + i)), Class: share.Class(rapid.IntRange(0, 2).Draw(t, "class"))}
 			queued := rapid.IntRange(0, 40).Draw(t, "queued")
 			weights[flow.Team] = rapid.Float64Range(0.2, 5).Draw(t, "weight")
-			claims = append(claims, flowDemand{class: flow.Class, weight: weights[flow.Team], demand: float64(queued)})
+			demands = append(demands, flowDemand{class: flow.Class, weight: weights[flow.Team], demand: float64(queued)})
 			demand.Flows = append(demand.Flows, share.FlowDemand{Flow: flow, Queued: queued})
 		}
-		bound := maxMinBound(float64(capacity), claims)
+		bound := maxMinBound(float64(capacity), demands)
 		division := share.Divide(capacity, weights, []share.Demand{demand})
 		for i, flow := range demand.Flows {
 			if got, want := division.Quota["e"][flow.Flow], bound[i]; math.Abs(got-want) > 1e-6 {
--- a/internal/experiment/poolbound.go
+++ b/internal/experiment/poolbound.go
@@ -32,7 +32,7 @@
 }
 
 // chooseDonor returns the spare pool if it has a host, or else the pool with a
-// host to give whose next burst is furthest away. It returns -1 if there is none.
+// surplus host whose next burst is furthest away. It returns -1 if there is none.
 func chooseDonor(hosts []int, rest []turn, except int) int {
 	if hosts[len(hosts)-1] > 0 {
 		return len(hosts) - 1
--- a/internal/experiment/wavebench.go
+++ b/internal/experiment/wavebench.go
@@ -13,17 +13,17 @@
 
 // Parameters of the wave simulation that all deployments share.
 const (
-	waveTick            = 250 * time.Millisecond
-	waveLimit           = 3 * time.Hour
-	minRebootTime       = time.Minute
-	maxRebootTime       = 3 * time.Minute
-	poolNeedFraction    = 0.5 // of a pool's hosts are needed for its load
-	repairDelay         = 10 * time.Minute
-	availabilityBudget  = 4234 * time.Second // 0.1 % of 7 weeks
-	maxDrainNoticeDelay = time.Second        // until an entry observes a drain
-	inFlightPerEntry    = 2
-	waveRackLostAt      = 2 * time.Minute
-	waveRackBackAt      = 12 * time.Minute
+	waveTick                 = 250 * time.Millisecond
+	waveLimit                = 3 * time.Hour
+	minRebootTime            = time.Minute
+	maxRebootTime            = 3 * time.Minute
+	poolNeedFraction         = 0.5 // of a pool's hosts are needed for its load
+	repairDelay              = 10 * time.Minute
+	availabilityBudget       = 4234 * time.Second // 0.1 % of 7 weeks
+	maxDrainObservationDelay = time.Second        // until an entry observes a drain
+	inFlightPerEntry         = 2
+	waveRackLostAt           = 2 * time.Minute
+	waveRackBackAt           = 12 * time.Minute
 )
 
 // waveScenario describes the failures during the maintenance.
@@ -84,10 +84,10 @@
 
 // waveEntry is an entry's view of a draining host.
 type waveEntry struct {
-	id          pool.Sender
-	noticesAt   time.Time
-	requestEnds []time.Time
-	report      pool.Confirmation
+	id              pool.Sender
+	observesDrainAt time.Time
+	requestEnds     []time.Time
+	report          pool.Confirmation
 }
 
 func newWaveBench(d Deployment, scenario waveScenario, seed uint64, make func() wavePolicy, grace time.Duration) *waveBench {
@@ -122,7 +122,7 @@
 // time that it took.
 func (b *waveBench) run() time.Duration {
 	for b.now.Sub(epoch) < waveLimit && !b.finished() {
-		b.loseRack()
+		b.injectRackFailure()
 		for _, p := range b.pools {
 			for _, h := range p.hosts {
 				b.advance(h)
@@ -204,8 +204,8 @@
 	h.entries = nil
 	for i := range b.deployment.Entries {
 		entry := &waveEntry{
-			id:        pool.Sender{Name: b.deployment.entry(i), Incarnation: 1},
-			noticesAt: b.now.Add(time.Duration(b.random.Int64N(int64(maxDrainNoticeDelay)))),
+			id:              pool.Sender{Name: b.deployment.entry(i), Incarnation: 1},
+			observesDrainAt: b.now.Add(time.Duration(b.random.Int64N(int64(maxDrainObservationDelay)))),
 		}
 		for range inFlightPerEntry {
 			entry.requestEnds = append(entry.requestEnds, b.now.Add(b.deployment.runTime(b.random)))
@@ -230,17 +230,17 @@
 func (b *waveBench) confirm(h *waveHost) {
 	var ids []pool.Sender
 	running := 0
-	for _, s := range h.entries {
-		h.drains.Confirm(h.Name, s.id, s.report)
-		ids = append(ids, s.id)
-		s.requestEnds = slices.DeleteFunc(s.requestEnds, func(end time.Time) bool { return !end.After(b.now) })
-		s.report = pool.Confirmation{InFlight: len(s.requestEnds)}
-		if b.now.Before(s.noticesAt) {
-			s.requestEnds = append(s.requestEnds, b.now.Add(b.deployment.runTime(b.random)))
+	for _, e := range h.entries {
+		h.drains.Confirm(h.Name, e.id, e.report)
+		ids = append(ids, e.id)
+		e.requestEnds = slices.DeleteFunc(e.requestEnds, func(end time.Time) bool { return !end.After(b.now) })
+		e.report = pool.Confirmation{InFlight: len(e.requestEnds)}
+		if b.now.Before(e.observesDrainAt) {
+			e.requestEnds = append(e.requestEnds, b.now.Add(b.deployment.runTime(b.random)))
 		} else {
-			s.report.Epoch = h.assignment.Epoch
+			e.report.Epoch = h.assignment.Epoch
 		}
-		running += len(s.requestEnds)
+		running += len(e.requestEnds)
 	}
 	drained := h.drains.IsDrained(b.now, h.assignment, ids, nil, time.Minute)
 	if b.grace > 0 {
@@ -290,8 +290,8 @@
 	}
 }
 
-// loseRack takes the first host's rack down from waveRackLostAt to waveRackBackAt.
-func (b *waveBench) loseRack() {
+// injectRackFailure takes the first host's rack down from waveRackLostAt to waveRackBackAt.
+func (b *waveBench) injectRackFailure() {
 	since := b.now.Sub(epoch)
 	if !b.scenario.loseRack || since < waveRackLostAt {
 		return
--- a/internal/experiment/wavetrials.go
+++ b/internal/experiment/wavetrials.go
@@ -61,15 +61,15 @@
 }
 
 func (p fixedFraction) start(_ time.Time, view wave.View) []string {
-	free := max(1, int(p.fraction*float64(len(view.Hosts))))
+	allowed := max(1, int(p.fraction*float64(len(view.Hosts))))
 	for _, h := range view.Hosts {
 		if h.State == wave.StateDown {
-			free--
+			allowed--
 		}
 	}
 	var start []string
 	for _, h := range view.Hosts {
-		if h.State == wave.StatePending && len(start) < free {
+		if h.State == wave.StatePending && len(start) < allowed {
 			start = append(start, h.Name)
 		}
 	}
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -11,7 +11,7 @@
 //   - processes are killed, paused or stopped: alone, in series, or all at once;
 //   - a loopback proxy delays, resets, cuts in one direction or silences connections
 //     to the store and to endpoints;
-//   - the store is unavailable, loses responses or forgets its history;
+//   - the store is unavailable, loses responses or drops its history;
 //   - endpoints crash.
 //
 // Callers keep their connections open. At no time may a task run twice concurrently
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,26 +13,26 @@
 // The kinds of faults. The link faults (delayed, reset, one-way and silent) affect
 // the connections of one node to the store, or of all nodes to one endpoint.
 const (
-	Kill                Kind = "kill"
-	Pause               Kind = "pause"
-	Stop                Kind = "stop"
-	KillAll             Kind = "kill-all"
-	StoreDelayed        Kind = "store-delayed"
-	StoreReset          Kind = "store-reset"
-	StoreOneWay         Kind = "store-one-way"
-	StoreSilent         Kind = "store-silent"
-	StoreUnavailable    Kind = "store-away"
-	StoreLosesAnswers   Kind = "store-loses-answers"
-	StoreForgetsHistory Kind = "store-forgets"
-	EndpointDelayed     Kind = "endpoint-delayed"
-	EndpointReset       Kind = "endpoint-reset"
-	EndpointOneWay      Kind = "endpoint-one-way"
-	EndpointSilent      Kind = "endpoint-silent"
-	EndpointCrash       Kind = "endpoint-crash"
+	Kill              Kind = "kill"
+	Pause             Kind = "pause"
+	Stop              Kind = "stop"
+	KillAll           Kind = "kill-all"
+	StoreDelayed      Kind = "store-delayed"
+	StoreReset        Kind = "store-reset"
+	StoreOneWay       Kind = "store-one-way"
+	StoreSilent       Kind = "store-silent"
+	StoreUnavailable  Kind = "store-away"
+	StoreLosesAnswers Kind = "store-loses-answers"
+	StoreDropsHistory Kind = "store-forgets"
+	EndpointDelayed   Kind = "endpoint-delayed"
+	EndpointReset     Kind = "endpoint-reset"
+	EndpointOneWay    Kind = "endpoint-one-way"
+	EndpointSilent    Kind = "endpoint-silent"
+	EndpointCrash     Kind = "endpoint-crash"
 )
 
 var kinds = []Kind{
-	Kill, Pause, Stop, KillAll, StoreDelayed, StoreReset, StoreOneWay, StoreSilent, StoreUnavailable, StoreLosesAnswers, StoreForgetsHistory,
+	Kill, Pause, Stop, KillAll, StoreDelayed, StoreReset, StoreOneWay, StoreSilent, StoreUnavailable, StoreLosesAnswers, StoreDropsHistory,
 	EndpointDelayed, EndpointReset, EndpointOneWay, EndpointSilent, EndpointCrash,
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -61,8 +61,8 @@
 
 // Report is the result of a run.
 type Report struct {
-	Faults                             int
-	Accepted, Refused, Uncertain, Runs int
+	Faults                                  int
+	Accepted, Refused, OutcomeUnknown, Runs int
 	// Violations describes the guarantees that were broken.
 	Violations []string
 }
@@ -175,13 +175,13 @@
 
 // inject injects a fault, and removes it after its duration.
 func (s *soak) inject(ctx context.Context, fault Fault) {
-	hold := func(start, stop func()) {
+	temporarily := func(start, stop func()) {
 		start()
 		sleep(ctx, fault.Duration)
 		stop()
 	}
-	setLink := func(door *proxy, state linkState) {
-		hold(func() { door.setState(state) }, func() { door.setState(linkHealthy) })
+	setLink := func(link *proxy, state linkState) {
+		temporarily(func() { link.setState(state) }, func() { link.setState(linkHealthy) })
 	}
 	node := s.processes[fault.Target%len(s.processes)]
 	store, endpoint := s.storeProxies[fault.Target%len(s.storeProxies)], s.endpointProxies[fault.Target%len(s.endpointProxies)]
@@ -191,7 +191,7 @@
 	case Stop:
 		node.Signal(syscall.SIGTERM)
 	case Pause:
-		hold(func() { node.Signal(syscall.SIGSTOP) }, func() { node.Signal(syscall.SIGCONT) })
+		temporarily(func() { node.Signal(syscall.SIGSTOP) }, func() { node.Signal(syscall.SIGCONT) })
 	case KillAll:
 		for _, p := range s.processes {
 			p.Signal(syscall.SIGKILL)
@@ -205,10 +205,10 @@
 	case StoreSilent:
 		setLink(store, linkSilent)
 	case StoreUnavailable:
-		hold(func() { s.platform.SetStoreDown(true) }, func() { s.platform.SetStoreDown(false) })
+		temporarily(func() { s.platform.SetStoreDown(true) }, func() { s.platform.SetStoreDown(false) })
 	case StoreLosesAnswers:
-		hold(func() { s.platform.SetLoseAnswers(true) }, func() { s.platform.SetLoseAnswers(false) })
-	case StoreForgetsHistory:
+		temporarily(func() { s.platform.SetLoseAnswers(true) }, func() { s.platform.SetLoseAnswers(false) })
+	case StoreDropsHistory:
 		s.platform.DropHistory()
 	case EndpointDelayed:
 		setLink(endpoint, linkDelayed)
@@ -250,7 +250,7 @@
 // submitJob submits a job to one node after the other until one accepts it, at most
 // maxAttempts times.
 func (s *soak) submitJob(ctx context.Context, n int) {
-	uncertain := false
+	outcomeUnknown := false
 	for attempt := range maxAttempts {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		status := s.platform.Submit(call, s.callerAddresses[(n+attempt)%len(s.callerAddresses)], jobID(n), stepsPerJob, tasksPerStep)
@@ -264,14 +264,14 @@
 		case 429, 503:
 		default:
 			// There was no response, or one that leaves open whether the job will run.
-			uncertain = true
+			outcomeUnknown = true
 		}
 		sleep(ctx, time.Duration(attempt+1)*jobInterval)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if uncertain {
-		s.report.Uncertain++
+	if outcomeUnknown {
+		s.report.OutcomeUnknown++
 		return
 	}
 	s.refused = append(s.refused, jobID(n))
@@ -295,10 +295,10 @@
 		}
 		id, node := due[random.IntN(len(due))], s.callerAddresses[random.IntN(len(s.callerAddresses))]
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		state, isUnknown := s.platform.LookupState(call, node, id)
+		state, notFound := s.platform.LookupState(call, node, id)
 		cancel()
-		if isUnknown || state == "failed" || state == "cancelled" {
-			s.addViolation("accepted job %s has state %q (unknown: %v) at node %s", id, state, isUnknown, node)
+		if notFound || state == "failed" || state == "cancelled" {
+			s.addViolation("accepted job %s has state %q (unknown: %v) at node %s", id, state, notFound, node)
 		}
 	}
 }
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -21,11 +21,11 @@
 
 const requests = 20
 
-// run sends load through front to an endpoint.
-func run(t *testing.T, cfg load.Config, front func(http.Handler) http.Handler) (load.Report, endpoint.Stats) {
+// run sends load through the middleware to an endpoint.
+func run(t *testing.T, cfg load.Config, middleware func(http.Handler) http.Handler) (load.Report, endpoint.Stats) {
 	t.Helper()
-	back := endpoint.New(endpoint.Config{Name: "orders-1", Service: "orders"})
-	server := httptest.NewServer(front(back.Handler()))
+	fake := endpoint.New(endpoint.Config{Name: "orders-1", Service: "orders"})
+	server := httptest.NewServer(middleware(fake.Handler()))
 	defer server.Close()
 	cfg.Targets = []netip.AddrPort{netip.MustParseAddrPort(server.Listener.Addr().String())}
 	cfg.Service = "orders"
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return report, back.Stats()
+	return report, fake.Stats()
 }
 
 func passThrough(next http.Handler) http.Handler { return next }
@@ -61,7 +61,7 @@
 func TestRunClassifiesAnswers(t *testing.T) {
 	tests := map[string]struct {
 		cfg        load.Config
-		front      func(http.Handler) http.Handler
+		middleware func(http.Handler) http.Handler
 		wantOK     int
 		wantWrong  int
 		wantCut    int
@@ -78,15 +78,15 @@
 		"truncated":  {cfg: load.Config{Behaviour: endpoint.Truncate}, wantCut: requests},
 		"closed":     {cfg: load.Config{Behaviour: endpoint.Close}, wantErrors: requests},
 		"status":     {cfg: load.Config{Behaviour: endpoint.Status + "=500"}, want500: requests},
-		"swapped":    {cfg: load.Config{}, front: replaceNonce, wantWrong: requests},
-		"refused":    {cfg: load.Config{}, front: refuseAll, wantNotRun: requests},
+		"swapped":    {cfg: load.Config{}, middleware: replaceNonce, wantWrong: requests},
+		"refused":    {cfg: load.Config{}, middleware: refuseAll, wantNotRun: requests},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if tc.front == nil {
-				tc.front = passThrough
+			if tc.middleware == nil {
+				tc.middleware = passThrough
 			}
-			report, _ := run(t, tc.cfg, tc.front)
+			report, _ := run(t, tc.cfg, tc.middleware)
 			got := []int{
 				report.Sent, report.OK, report.Wrong, report.Cut, report.Errors,
 				report.Outcomes["not-run"], report.Reasons["no-capacity"], report.Statuses[500],
--- a/internal/standin/platform/hostlist.go
+++ b/internal/standin/platform/hostlist.go
@@ -8,7 +8,7 @@
 	api "github.com/lovagedyke/lovagedyke/internal/platform"
 )
 
-// hostChange is a change that is not visible in the list yet.
+// hostChange is a change of a host that takes effect at a point in time.
 type hostChange struct {
 	at     time.Time
 	host   api.Host
@@ -17,13 +17,13 @@
 
 // hostList is a list of hosts in which changes become visible after a delay.
 type hostList struct {
-	shown   map[string]api.Host
+	visible map[string]api.Host
 	pending []hostChange
 }
 
 // newHostList returns an empty list.
 func newHostList() *hostList {
-	return &hostList{shown: make(map[string]api.Host)}
+	return &hostList{visible: make(map[string]api.Host)}
 }
 
 // change records a change at the given time, which may be in the future.
@@ -39,7 +39,7 @@
 			return change.host, !change.remove
 		}
 	}
-	host, ok := l.shown[name]
+	host, ok := l.visible[name]
 	return host, ok
 }
 
@@ -50,8 +50,8 @@
 		l.apply(l.pending[0])
 		l.pending = l.pending[1:]
 	}
-	hosts := make([]api.Host, 0, len(l.shown))
-	for _, host := range l.shown {
+	hosts := make([]api.Host, 0, len(l.visible))
+	for _, host := range l.visible {
 		hosts = append(hosts, host)
 	}
 	slices.SortFunc(hosts, func(a, b api.Host) int { return strings.Compare(a.Name, b.Name) })
@@ -61,8 +61,8 @@
 // apply makes a change visible.
 func (l *hostList) apply(change hostChange) {
 	if change.remove {
-		delete(l.shown, change.host.Name)
+		delete(l.visible, change.host.Name)
 		return
 	}
-	l.shown[change.host.Name] = change.host
+	l.visible[change.host.Name] = change.host
 }
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -78,13 +78,13 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CHECK\tGOT\tWANT\t")
 	ok = true
-	for _, v := range results {
+	for _, r := range results {
 		mark := "ok"
-		if !v.OK {
+		if !r.OK {
 			mark = "FAILED"
 			ok = false
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", v.Name, v.Got, v.Want, mark)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", r.Name, r.Got, r.Want, mark)
 	}
 	// Errors of the underlying writer are left to the caller, who owns it.
 	_ = table.Flush()
--- a/internal/standin/worker/runner.go
+++ b/internal/standin/worker/runner.go
@@ -68,7 +68,7 @@
 	if !fits(start.Resources, r.cfg.Capacity) || len(r.tasks) >= maxTasks {
 		return api.Status{}, api.ReasonDoesNotFit
 	}
-	started := &task{start: start, job: readJob(start), state: api.Running, ran: true, rate: 1, startedAt: now}
+	started := &task{start: start, workload: readWorkload(start), state: api.Running, ran: true, rate: 1, startedAt: now}
 	started.updatedAt = now.Add(r.faults.SlowStart.Duration)
 	started.leaseEnd = now.Add(start.Lease.Duration)
 	var resumed duration.Text
--- a/internal/standin/worker/job.go
+++ b/internal/standin/worker/task.go
@@ -9,9 +9,9 @@
 	"github.com/lovagedyke/lovagedyke/internal/duration"
 )
 
-// Job describes what a task really does, if its body is JSON of this form. The run
-// time and resources may differ from those that the task declares.
-type Job struct {
+// Workload describes what a task really does. It is decoded from the JSON in the
+// task's body; its run time and resources may differ from the declared ones.
+type Workload struct {
 	RunTime duration.Text `json:"run-time,omitzero"`
 	CPUs    float64       `json:"cpus,omitempty"`
 	Memory  int64         `json:"memory,omitempty"`
@@ -19,29 +19,29 @@
 	Fail string `json:"fail,omitempty"`
 }
 
-// readJob reads the job from the task's body, and missing values from the task's
-// declaration.
-func readJob(start api.Start) Job {
-	var job Job
-	if json.Unmarshal(start.Body, &job) != nil {
-		job = Job{}
+// readWorkload decodes the workload from the task's body. Missing values default to
+// those that the task declares.
+func readWorkload(start api.Start) Workload {
+	var workload Workload
+	if json.Unmarshal(start.Body, &workload) != nil {
+		workload = Workload{}
 	}
-	if job.RunTime.Duration == 0 {
-		job.RunTime = start.RunTime
+	if workload.RunTime.Duration == 0 {
+		workload.RunTime = start.RunTime
 	}
-	if job.CPUs == 0 {
-		job.CPUs = start.CPUs
+	if workload.CPUs == 0 {
+		workload.CPUs = start.CPUs
 	}
-	if job.Memory == 0 {
-		job.Memory = start.Memory
+	if workload.Memory == 0 {
+		workload.Memory = start.Memory
 	}
-	return job
+	return workload
 }
 
 // task is a task that was started, and its state.
 type task struct {
 	start     api.Start
-	job       Job
+	workload  Workload
 	state     api.State
 	ran       bool
 	reason    string
@@ -61,15 +61,15 @@
 	}
 	end := now
 	if t.rate > 0 {
-		left := float64(t.job.RunTime.Duration-t.progress) / t.rate
+		left := float64(t.workload.RunTime.Duration-t.progress) / t.rate
 		end = t.updatedAt.Add(time.Duration(left))
 	}
 	done := t.rate > 0 && !end.After(now)
 	switch {
 	case !t.leaseEnd.After(now) && !(done && end.Before(t.leaseEnd)):
 		t.finish(api.Lapsed, t.leaseEnd, "lease-lapsed")
-	case done && t.job.Fail != "":
-		t.finish(api.Failed, end, t.job.Fail)
+	case done && t.workload.Fail != "":
+		t.finish(api.Failed, end, t.workload.Fail)
 	case done:
 		t.finish(api.Done, end, "")
 	default:
@@ -90,7 +90,7 @@
 	if t.state != api.Running {
 		return api.Resources{}
 	}
-	return api.Resources{CPUs: t.job.CPUs * t.rate, Memory: t.job.Memory, Accelerators: t.start.Accelerators}
+	return api.Resources{CPUs: t.workload.CPUs * t.rate, Memory: t.workload.Memory, Accelerators: t.start.Accelerators}
 }
 
 // checkpoint encodes the progress, from which a later start resumes.
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -6,7 +6,7 @@
 //	server := worker.New(worker.Config{Name: "worker-1", Incarnation: "a"})
 //	err := web.Serve(ctx, web.Config{Address: address, Handler: server.Handler(), Log: logger})
 //
-// A task's body may be a Job in JSON, which describes what the task really does.
+// A task's body may be a Workload in JSON, which describes what the task really does.
 // Tasks use no CPU: each call computes their progress from the elapsed time.
 package worker
 
--- a/internal/standin/worker/worker_test.go
+++ b/internal/standin/worker/worker_test.go
@@ -110,15 +110,15 @@
 func TestTaskLifecycle(t *testing.T) {
 	order := api.Order{Shard: "orders", Epoch: 5, Lease: duration.New(lease)}
 	tests := map[string]struct {
-		job  string
-		act  func(context.Context, *testWorker) (api.Status, error)
-		wait time.Duration
-		want api.State
+		workload string
+		act      func(context.Context, *testWorker) (api.Status, error)
+		wait     time.Duration
+		want     api.State
 	}{
 		"lapses":            {wait: lease, want: api.Lapsed},
 		"runs under lease":  {wait: lease - 1, want: api.Running},
-		"ends before lapse": {job: `{"run-time":"1s"}`, wait: time.Hour, want: api.Done},
-		"fails by itself":   {job: `{"run-time":"1s","fail":"bad input"}`, wait: time.Hour, want: api.Failed},
+		"ends before lapse": {workload: `{"run-time":"1s"}`, wait: time.Hour, want: api.Done},
+		"fails by itself":   {workload: `{"run-time":"1s","fail":"bad input"}`, wait: time.Hour, want: api.Failed},
 		"stopped": {wait: 0, want: api.Stopped, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
 			return b.client.Stop(ctx, b.address, id, order)
 		}},
@@ -137,7 +137,7 @@
 			}
 			return renewed.Tasks[0], err
 		}},
-		"throttled": {job: `{"run-time":"1s"}`, wait: 2 * time.Second, want: api.Running, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
+		"throttled": {workload: `{"run-time":"1s"}`, wait: 2 * time.Second, want: api.Running, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
 			return b.client.Throttle(ctx, b.address, id, api.Order{Shard: "orders", Epoch: 5, Rate: 0.25})
 		}},
 	}
@@ -145,7 +145,7 @@
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
 			b := newTestWorker(t)
-			if _, err := b.start(func(s *api.Start) { s.Body = []byte(tc.job) }); err != nil {
+			if _, err := b.start(func(s *api.Start) { s.Body = []byte(tc.workload) }); err != nil {
 				t.Fatal(err)
 			}
 			if tc.act != nil {
--- a/internal/task/runner/bench_test.go
+++ b/internal/task/runner/bench_test.go
@@ -48,7 +48,7 @@
 
 // submitWithClass submits a task of the class that needs a whole worker.
 func (c *cluster) submitWithClass(id string, class place.Class, runTime time.Duration) {
-	body, err := json.Marshal(fakeworker.Job{RunTime: duration.New(runTime)})
+	body, err := json.Marshal(fakeworker.Workload{RunTime: duration.New(runTime)})
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/task/runner/runner_test.go
+++ b/internal/task/runner/runner_test.go
@@ -137,7 +137,7 @@
 	return task.Reply{}
 }
 
-func (c *cluster) submit(id string, job fakeworker.Job, once bool) {
+func (c *cluster) submit(id string, job fakeworker.Workload, once bool) {
 	c.t.Helper()
 	body, err := json.Marshal(job)
 	if err != nil {
@@ -244,7 +244,7 @@
 				if i == tasks/2 {
 					injectFault(c)
 				}
-				c.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(100 * time.Millisecond)}, true)
+				c.submit(fmt.Sprint("task-", i), fakeworker.Workload{RunTime: duration.New(100 * time.Millisecond)}, true)
 			}
 			c.setFaults(c.platform, "/faults", map[string]any{"slow": "1ms"})
 			for i := range tasks {
@@ -274,7 +274,7 @@
 	c := newCluster(t, 3, 1)
 	c.setFaults(c.workers[0], "/standin/faults", map[string]any{"fail-everything": true})
 	for i := range tasks {
-		c.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(20 * time.Millisecond)}, false)
+		c.submit(fmt.Sprint("task-", i), fakeworker.Workload{RunTime: duration.New(20 * time.Millisecond)}, false)
 	}
 	for i := range tasks {
 		record := c.awaitEnd(fmt.Sprint("task-", i))
@@ -293,9 +293,9 @@
 func TestDrain(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	for i := range 4 {
-		c.submit(fmt.Sprint("task-", i), fakeworker.Job{RunTime: duration.New(time.Hour)}, false)
+		c.submit(fmt.Sprint("task-", i), fakeworker.Workload{RunTime: duration.New(time.Hour)}, false)
 	}
-	c.submit("once", fakeworker.Job{RunTime: duration.New(500 * time.Millisecond)}, true)
+	c.submit("once", fakeworker.Workload{RunTime: duration.New(500 * time.Millisecond)}, true)
 	for len(c.runsPerTask()) < 5 && c.ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -337,7 +337,7 @@
 
 func TestFinalStates(t *testing.T) {
 	tests := map[string]struct {
-		job        fakeworker.Job
+		job        fakeworker.Workload
 		once       bool
 		cancel     bool
 		wantState  task.State
@@ -345,9 +345,9 @@
 		wantResult bool
 	}{
 		"done":                {wantState: task.Done, wantRan: task.RanYes, wantResult: true},
-		"fails on all":        {job: fakeworker.Job{Fail: "bad-plan"}, wantState: task.GivenUp, wantRan: task.RanYes},
-		"fails once":          {job: fakeworker.Job{Fail: "bad-plan"}, once: true, wantState: task.Failed, wantRan: task.RanYes},
-		"cancelled while run": {job: fakeworker.Job{RunTime: duration.New(time.Hour)}, cancel: true, wantState: task.Cancelled},
+		"fails on all":        {job: fakeworker.Workload{Fail: "bad-plan"}, wantState: task.GivenUp, wantRan: task.RanYes},
+		"fails once":          {job: fakeworker.Workload{Fail: "bad-plan"}, once: true, wantState: task.Failed, wantRan: task.RanYes},
+		"cancelled while run": {job: fakeworker.Workload{RunTime: duration.New(time.Hour)}, cancel: true, wantState: task.Cancelled},
 	}
 	c := newCluster(t, 3, 1)
 	for name, tc := range tests {
--- a/test/demo.sh
+++ b/test/demo.sh
@@ -70,7 +70,9 @@
 }
 
 declare -A addr
-reserve() { # <name>...
+
+# reserve <name>... assigns a free address to each name.
+reserve() {
 	local name
 	for name in "$@"; do
 		free_port
@@ -78,23 +80,27 @@
 	done
 }
 
-list_host() { # <name> <json>
+# list_host <name> <json> puts a host on the platform's host list.
+list_host() {
 	curl -sf -X PUT "http://${addr[platform]}/hosts/$1" -d "$2" >/dev/null
 }
 
-endpoint_host() { # <index> <service> <state>
+# endpoint_host <index> <service> <state> lists the host of an endpoint.
+endpoint_host() {
 	local name=$2-$1
 	list_host "host-$name" "{\"data-centre\":\"dc-$(($1 % 3 + 1))\",\"rack\":\"rack-$(($1 / 2))\",\"pool\":\"$2\",\"state\":\"$3\",\"endpoints\":[{\"service\":\"$2\",\"address\":\"${addr[$name]}\",\"slots\":8,\"connections\":64}]}"
 }
 
-start_entry() { # <index>
+# start_entry <index> starts an entry.
+start_entry() {
 	start "entry-$1" "$bin/lovagedyke" entry -name "entry-$1" -host "entry-host-$1" -data-centre "dc-$1" \
 		-caller-address "${addr[caller-$1]}" -peer-address "${addr[entry-peer-$1]}" \
 		-operations-address "${addr[entry-ops-$1]}" -platform-address "${addr[platform]}" \
 		-peer-secret-file "$work/peer.secret" -grace 10s -balancer-delay 500ms -list-lag 2s
 }
 
-start_manager() { # <index>
+# start_manager <index> starts a manager.
+start_manager() {
 	start "manager-$1" "$bin/lovagedyke" manager -name "manager-$1" -host "entry-host-$1" -data-centre "dc-$1" \
 		-operator-address "${addr[operator-$1]}" -peer-address "${addr[manager-peer-$1]}" \
 		-operations-address "${addr[manager-ops-$1]}" -platform-address "${addr[platform]}" \
@@ -116,7 +122,8 @@
 	printf '%s' $! >"$work/$name.pid"
 }
 
-await() { # <load name>...
+# await <load name>... waits for loads to end and fails if one of them failed.
+await() {
 	local name
 	for name in "$@"; do
 		if ! wait "$(cat "$work/$name.pid")"; then
@@ -177,7 +184,8 @@
 sleep 3
 
 say "submit tasks, every third one through two entries"
-submit() { # <entry> <key>
+# submit <entry> <key> submits a task under an idempotency key.
+submit() {
 	curl -sf -X POST "http://${addr[caller-$1]}/plans/tasks" -H "Authorization: Bearer $charters" \
 		-H "Idempotency-Key: $2" -d '{"cpus":1,"memory":1048576,"run-time":"300ms"}' >>"$work/tasks.json"
 }
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -13,8 +13,8 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// checkIdempotent asserts that no idempotent request ran twice and that none
-// answered not-run had run.
+// checkIdempotent asserts that no idempotent request ran more than once, and that
+// none ran whose response was not-run.
 func (f *testFleet) checkIdempotent(report load.Report) {
 	f.t.Helper()
 	runs := f.runsPerKey()
--- a/test/mixed-versions.sh
+++ b/test/mixed-versions.sh
@@ -29,9 +29,9 @@
 	pids+=("$started")
 }
 
-# leads <old|new> <count> waits until a build's nodes have won leadership <count>
-# times.
-leads() {
+# await_leadership <old|new> <count> waits until a build's nodes have won leadership
+# <count> times.
+await_leadership() {
 	for _ in $(seq 200); do
 		[ "$(grep -c '"leadership won"' "$work/$1.log")" -ge "$2" ] && { say "the $1 build leads"; return; }
 		sleep 0.05
@@ -57,18 +57,18 @@
 
 start_node old 1
 old=$started
-leads old 1
+await_leadership old 1
 start_node new 2
 new=$started
 sleep 4
 say "kill the old build's node"
 kill -KILL "$old"
-leads new 1
+await_leadership new 1
 start_node old 1
 sleep 4
 say "stop the new build's node gracefully"
 kill -TERM "$new"
-leads old 2
+await_leadership old 2
 start_node new 2
 
 # The stand-in also exits with 1 for a completion that an endpoint reported and
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -16,7 +16,7 @@
 var (
 	soakSeed      = flag.Uint64("soak-seed", 1, "first seed of TestSoakByHand")
 	soakSeeds     = flag.Uint64("soak-seeds", 0, "number of seeds, 0 for none")
-	soakLength    = flag.Duration("soak-for", 15*time.Second, "how long faults are injected per seed")
+	soakDuration  = flag.Duration("soak-for", 15*time.Second, "how long faults are injected per seed")
 	soakNodes     = flag.Int("soak-nodes", 3, "number of nodes")
 	soakEndpoints = flag.Int("soak-endpoints", 6, "number of endpoints")
 	soakPort      = flag.Uint("soak-port", 14700, "first of the nodes' ports, below those of other tests")
@@ -45,7 +45,7 @@
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			runSeed(t, soak.Config{Seed: seed, Duration: *soakLength, Nodes: *soakNodes, Endpoints: *soakEndpoints, Dir: dir})
+			runSeed(t, soak.Config{Seed: seed, Duration: *soakDuration, Nodes: *soakNodes, Endpoints: *soakEndpoints, Dir: dir})
 			if t.Failed() {
 				t.Logf("logs: %s", dir)
 				return
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d faults, %d jobs accepted, %d refused, %d with unknown outcome, %d runs", report.Faults, report.Accepted, report.Refused, report.Uncertain, report.Runs)
+	t.Logf("%d faults, %d jobs accepted, %d refused, %d with unknown outcome, %d runs", report.Faults, report.Accepted, report.Refused, report.OutcomeUnknown, report.Runs)
 	for _, violation := range report.Violations {
 		t.Error(violation)
 	}
