--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -42,10 +42,10 @@
 )
 
 const (
-	defaultSlots       = 8
-	defaultConnections = 64
-	maxRunTime         = 10 * time.Minute
-	runHeaderLimit     = 256
+	defaultSlots           = 8
+	defaultConnections     = 64
+	maxRunTime             = 10 * time.Minute
+	maxRecordedHeaderBytes = 256
 )
 
 // Config configures an endpoint. Zero Slots mean 8 and zero Connections mean 64.
@@ -280,7 +280,7 @@
 
 // truncate limits the length of a caller's string, to bound the run log.
 func truncate(text string) string {
-	return text[:min(len(text), runHeaderLimit)]
+	return text[:min(len(text), maxRecordedHeaderBytes)]
 }
 
 // echo streams the request body back while it arrives.
--- a/internal/standin/load/balancer.go
+++ b/internal/standin/load/balancer.go
@@ -56,8 +56,8 @@
 			return
 		}
 		for {
-			for i, probe := range b.readinessAddresses {
-				b.notReady[i].Store(!b.ready(ctx, probe))
+			for i, address := range b.readinessAddresses {
+				b.notReady[i].Store(!b.ready(ctx, address))
 			}
 			select {
 			case <-ctx.Done():
@@ -70,8 +70,8 @@
 }
 
 // ready requests /readyz at a target's operations address.
-func (b *balancer) ready(ctx context.Context, probe netip.AddrPort) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+probe.String()+"/readyz", nil)
+func (b *balancer) ready(ctx context.Context, address netip.AddrPort) bool {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/readyz", nil)
 	if err != nil {
 		return false
 	}
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -85,16 +85,16 @@
 		start:    time.Now(),
 		balancer: newBalancer(cfg),
 	}
-	probing, stopProbing := context.WithCancel(ctx)
+	probeCtx, stopProbing := context.WithCancel(ctx)
 	defer stopProbing()
-	probed := g.balancer.probe(probing)
+	probesDone := g.balancer.probe(probeCtx)
 	var group conc.WaitGroup
 	for range cfg.Concurrency {
 		group.Go(func() { g.send(ctx) })
 	}
 	group.Wait()
 	stopProbing()
-	<-probed
+	<-probesDone
 	return g.samples.finish(time.Since(g.start)), nil
 }
 
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -31,36 +31,36 @@
 }
 
 func newTestPlatform(t *testing.T, cfg platform.Config) *testPlatform {
-	b := &testPlatform{t: t, now: time.Unix(1, 0)}
-	cfg.Now = func() time.Time { return b.now }
-	b.server = httptest.NewServer(platform.New(cfg).Handler())
-	t.Cleanup(b.server.Close)
-	return b
+	p := &testPlatform{t: t, now: time.Unix(1, 0)}
+	cfg.Now = func() time.Time { return p.now }
+	p.server = httptest.NewServer(platform.New(cfg).Handler())
+	t.Cleanup(p.server.Close)
+	return p
 }
 
-func (b *testPlatform) client(process string) *api.Client {
+func (p *testPlatform) client(process string) *api.Client {
 	client := api.New(api.Config{
-		Address: netip.MustParseAddrPort(b.server.Listener.Addr().String()),
+		Address: netip.MustParseAddrPort(p.server.Listener.Addr().String()),
 		Process: process,
 		Timeout: 5 * time.Second,
 	})
-	b.t.Cleanup(client.Close)
+	p.t.Cleanup(client.Close)
 	return client
 }
 
-func (b *testPlatform) mustRequest(method, path, body string) {
-	b.t.Helper()
-	request, err := http.NewRequest(method, b.server.URL+path, bytes.NewBufferString(body))
+func (p *testPlatform) mustRequest(method, path, body string) {
+	p.t.Helper()
+	request, err := http.NewRequest(method, p.server.URL+path, bytes.NewBufferString(body))
 	if err != nil {
-		b.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		b.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if got, want := response.StatusCode, http.StatusNoContent; got != want {
-		b.t.Fatalf("%s %s: got status %d, want %d", method, path, got, want)
+		p.t.Fatalf("%s %s: got status %d, want %d", method, path, got, want)
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
@@ -92,16 +92,16 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			b := newTestPlatform(t, platform.Config{})
-			client := b.client(tc.process)
-			b.mustRequest(http.MethodPut, "/faults", tc.faults)
+			p := newTestPlatform(t, platform.Config{})
+			client := p.client(tc.process)
+			p.mustRequest(http.MethodPut, "/faults", tc.faults)
 			if got, want := client.Commit(ctx, putTxn("a", table.Absent)), tc.wantErr; !errors.Is(got, want) {
 				t.Errorf("commit: got %v, want %v", got, want)
 			}
 			if got, want := client.Commit(ctx, putTxn("b", table.Absent)), tc.wantSecond; !errors.Is(got, want) {
 				t.Errorf("second commit: got %v, want %v", got, want)
 			}
-			b.mustRequest(http.MethodPut, "/faults", `{}`)
+			p.mustRequest(http.MethodPut, "/faults", `{}`)
 			rows, err := client.Scan(ctx, "a")
 			if err != nil {
 				t.Fatal(err)
@@ -119,8 +119,8 @@
 
 func TestRateLimit(t *testing.T) {
 	ctx := context.Background()
-	b := newTestPlatform(t, platform.Config{WritesPerSecond: 4, ReadsPerSecond: 3})
-	client := b.client("entry-1")
+	p := newTestPlatform(t, platform.Config{WritesPerSecond: 4, ReadsPerSecond: 3})
+	client := p.client("entry-1")
 	// 250 rows are three operations of up to 100 rows.
 	wide := table.Txn{}
 	for i := range 250 {
@@ -140,12 +140,12 @@
 		{advance: time.Second, call: func() error { _, err := client.Get(ctx, "a"); return err }},
 	}
 	for i, step := range steps {
-		b.now = b.now.Add(step.advance)
+		p.now = p.now.Add(step.advance)
 		if got, want := step.call(), step.wantErr; !errors.Is(got, want) {
 			t.Errorf("step %d: got %v, want %v", i, got, want)
 		}
 	}
-	response, err := http.Get(b.server.URL + "/stats")
+	response, err := http.Get(p.server.URL + "/stats")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,9 +163,9 @@
 
 func TestHostListLag(t *testing.T) {
 	ctx := context.Background()
-	b := newTestPlatform(t, platform.Config{ListLag: 2 * time.Second})
-	client := b.client("entry-1")
-	b.mustRequest(http.MethodPut, "/hosts/host-1", `{"data-centre":"suva","endpoints":[{"service":"orders","address":"127.0.0.1:9","slots":8,"connections":64}]}`)
+	p := newTestPlatform(t, platform.Config{ListLag: 2 * time.Second})
+	client := p.client("entry-1")
+	p.mustRequest(http.MethodPut, "/hosts/host-1", `{"data-centre":"suva","endpoints":[{"service":"orders","address":"127.0.0.1:9","slots":8,"connections":64}]}`)
 	steps := []struct {
 		advance time.Duration
 		faults  string
@@ -180,12 +180,12 @@
 		{faults: `{"list-lag":"0s"}`, change: `{"state":"live"}`, want: []api.State{api.Live}},
 	}
 	for i, step := range steps {
-		b.now = b.now.Add(step.advance)
+		p.now = p.now.Add(step.advance)
 		if step.faults != "" {
-			b.mustRequest(http.MethodPut, "/faults", step.faults)
+			p.mustRequest(http.MethodPut, "/faults", step.faults)
 		}
 		if step.change != "" {
-			b.mustRequest(http.MethodPut, "/hosts/host-1", step.change)
+			p.mustRequest(http.MethodPut, "/hosts/host-1", step.change)
 		}
 		hosts, err := client.Hosts(ctx)
 		if err != nil {
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -79,12 +79,12 @@
 	fmt.Fprintln(table, "CHECK\tGOT\tWANT\t")
 	ok = true
 	for _, r := range results {
-		mark := "ok"
+		status := "ok"
 		if !r.OK {
-			mark = "FAILED"
+			status = "FAILED"
 			ok = false
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", r.Name, r.Got, r.Want, mark)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", r.Name, r.Got, r.Want, status)
 	}
 	// Errors of the underlying writer are left to the caller, who owns it.
 	_ = table.Flush()
--- a/internal/standin/worker/runner.go
+++ b/internal/standin/worker/runner.go
@@ -12,7 +12,7 @@
 	api "github.com/lovagedyke/lovagedyke/internal/worker"
 )
 
-// maxTasks limits the number of tasks that a worker remembers.
+// maxTasks limits the number of tasks that a worker keeps.
 const maxTasks = 100_000
 
 // Result is the JSON result of a completed task.
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -102,7 +102,7 @@
 	router.POST(api.RenewPath, s.renew)
 	// Ids may contain slashes, so the action is split from the path in the handler.
 	router.GET(api.TasksPath+"/*id", s.status)
-	router.POST(api.TasksPath+"/*id", s.act)
+	router.POST(api.TasksPath+"/*id", s.execute)
 	router.PUT("/standin/faults", s.putFaults)
 	router.GET("/standin/stats", s.getStats)
 	return router
@@ -123,7 +123,7 @@
 	s.handle(w, func(now time.Time) (any, refusal) { return s.runner.start(now, start) })
 }
 
-func (s *Server) act(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+func (s *Server) execute(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	id, action := splitAction(params.ByName("id"))
 	switch action {
 	case api.RenewAction, api.StopAction, api.CheckpointAction, api.ThrottleAction:
--- a/internal/standin/worker/worker_test.go
+++ b/internal/standin/worker/worker_test.go
@@ -35,21 +35,21 @@
 }
 
 func newTestWorker(t *testing.T) *testWorker {
-	b := &testWorker{now: time.Unix(1, 0)}
-	b.server = httptest.NewServer(worker.New(worker.Config{
+	w := &testWorker{now: time.Unix(1, 0)}
+	w.server = httptest.NewServer(worker.New(worker.Config{
 		Name:        "worker-1",
 		Incarnation: "a",
 		UsageLag:    time.Second,
-		Now:         func() time.Time { return b.now },
+		Now:         func() time.Time { return w.now },
 	}).Handler())
-	b.address = netip.MustParseAddrPort(b.server.Listener.Addr().String())
-	b.client = api.New(api.Config{Timeout: 200 * time.Millisecond})
-	t.Cleanup(b.server.Close)
-	t.Cleanup(b.client.Close)
-	return b
+	w.address = netip.MustParseAddrPort(w.server.Listener.Addr().String())
+	w.client = api.New(api.Config{Timeout: 200 * time.Millisecond})
+	t.Cleanup(w.server.Close)
+	t.Cleanup(w.client.Close)
+	return w
 }
 
-func (b *testWorker) start(change func(*api.Start)) (api.Status, error) {
+func (w *testWorker) start(change func(*api.Start)) (api.Status, error) {
 	start := api.Start{
 		ID: id, Queue: "orders", Team: "reef", Lease: duration.New(lease), Epoch: 5,
 		RunTime: duration.New(time.Minute), Resources: api.Resources{CPUs: 1, Memory: 1 << 20},
@@ -57,16 +57,16 @@
 	if change != nil {
 		change(&start)
 	}
-	return b.client.Start(context.Background(), b.address, start)
+	return w.client.Start(context.Background(), w.address, start)
 }
 
-func (b *testWorker) setFaults(t *testing.T, body string) {
+func (w *testWorker) setFaults(t *testing.T, body string) {
 	t.Helper()
-	request, err := http.NewRequest(http.MethodPut, b.server.URL+"/standin/faults", strings.NewReader(body))
+	request, err := http.NewRequest(http.MethodPut, w.server.URL+"/standin/faults", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	response, err := b.server.Client().Do(request)
+	response, err := w.server.Client().Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,10 +93,10 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newTestWorker(t)
-			b.setFaults(t, tc.faults+strings.Repeat("{}", 1-min(1, len(tc.faults))))
-			status, err := b.start(tc.change)
-			b.setFaults(t, "{}")
+			w := newTestWorker(t)
+			w.setFaults(t, tc.faults+strings.Repeat("{}", 1-min(1, len(tc.faults))))
+			status, err := w.start(tc.change)
+			w.setFaults(t, "{}")
 			if got, want := err, tc.wantErr; !errors.Is(got, want) {
 				t.Fatalf("error: got %v, want %v", got, want)
 			}
@@ -119,43 +119,43 @@
 		"runs under lease":  {wait: lease - 1, want: api.Running},
 		"ends before lapse": {workload: `{"run-time":"1s"}`, wait: time.Hour, want: api.Done},
 		"fails by itself":   {workload: `{"run-time":"1s","fail":"bad input"}`, wait: time.Hour, want: api.Failed},
-		"stopped": {wait: 0, want: api.Stopped, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
-			return b.client.Stop(ctx, b.address, id, order)
+		"stopped": {wait: 0, want: api.Stopped, act: func(ctx context.Context, w *testWorker) (api.Status, error) {
+			return w.client.Stop(ctx, w.address, id, order)
 		}},
-		"checkpointed": {wait: 0, want: api.Checkpointed, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
-			return b.client.Checkpoint(ctx, b.address, id, order)
+		"checkpointed": {wait: 0, want: api.Checkpointed, act: func(ctx context.Context, w *testWorker) (api.Status, error) {
+			return w.client.Checkpoint(ctx, w.address, id, order)
 		}},
-		"renewed": {wait: lease, want: api.Running, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
-			b.now = b.now.Add(time.Second)
-			return b.client.Renew(ctx, b.address, id, api.Order{Shard: "orders", Epoch: 6, Lease: duration.New(time.Hour)})
+		"renewed": {wait: lease, want: api.Running, act: func(ctx context.Context, w *testWorker) (api.Status, error) {
+			w.now = w.now.Add(time.Second)
+			return w.client.Renew(ctx, w.address, id, api.Order{Shard: "orders", Epoch: 6, Lease: duration.New(time.Hour)})
 		}},
-		"renewed with others": {wait: lease, want: api.Running, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
-			b.now = b.now.Add(time.Second)
-			renewed, err := b.client.RenewAll(ctx, b.address, api.Renewal{Shard: "orders", Epoch: 5, Lease: duration.New(time.Hour), IDs: []string{"none", id}})
+		"renewed with others": {wait: lease, want: api.Running, act: func(ctx context.Context, w *testWorker) (api.Status, error) {
+			w.now = w.now.Add(time.Second)
+			renewed, err := w.client.RenewAll(ctx, w.address, api.Renewal{Shard: "orders", Epoch: 5, Lease: duration.New(time.Hour), IDs: []string{"none", id}})
 			if len(renewed.Tasks) != 1 {
 				return api.Status{}, errors.Newf("%d tasks in %+v", len(renewed.Tasks), renewed)
 			}
 			return renewed.Tasks[0], err
 		}},
-		"throttled": {workload: `{"run-time":"1s"}`, wait: 2 * time.Second, want: api.Running, act: func(ctx context.Context, b *testWorker) (api.Status, error) {
-			return b.client.Throttle(ctx, b.address, id, api.Order{Shard: "orders", Epoch: 5, Rate: 0.25})
+		"throttled": {workload: `{"run-time":"1s"}`, wait: 2 * time.Second, want: api.Running, act: func(ctx context.Context, w *testWorker) (api.Status, error) {
+			return w.client.Throttle(ctx, w.address, id, api.Order{Shard: "orders", Epoch: 5, Rate: 0.25})
 		}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			b := newTestWorker(t)
-			if _, err := b.start(func(s *api.Start) { s.Body = []byte(tc.workload) }); err != nil {
+			w := newTestWorker(t)
+			if _, err := w.start(func(s *api.Start) { s.Body = []byte(tc.workload) }); err != nil {
 				t.Fatal(err)
 			}
 			if tc.act != nil {
-				if _, err := tc.act(ctx, b); err != nil {
+				if _, err := tc.act(ctx, w); err != nil {
 					t.Fatal(err)
 				}
 			}
-			b.now = b.now.Add(tc.wait)
+			w.now = w.now.Add(tc.wait)
 			// A repeated start returns the current state and runs nothing.
-			status, err := b.start(func(s *api.Start) { s.Epoch = 9 })
+			status, err := w.start(func(s *api.Start) { s.Epoch = 9 })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -168,23 +168,23 @@
 
 func TestStopBeforeStart(t *testing.T) {
 	ctx := context.Background()
-	b := newTestWorker(t)
+	w := newTestWorker(t)
 	order := api.Order{Shard: "orders", Epoch: 5}
-	if _, err := b.client.Stop(ctx, b.address, id, order); err != nil {
+	if _, err := w.client.Stop(ctx, w.address, id, order); err != nil {
 		t.Fatal(err)
 	}
-	status, err := b.start(nil)
+	status, err := w.start(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, want := status.State, api.Stopped; got != want || status.Ran {
 		t.Errorf("late start: got %q, ran %v, want %q that never ran", got, status.Ran, want)
 	}
-	_, err = b.start(func(s *api.Start) { s.Epoch = 4 })
+	_, err = w.start(func(s *api.Start) { s.Epoch = 4 })
 	if got, want := err, api.ErrStale; !errors.Is(got, want) {
 		t.Errorf("stale epoch: got %v, want %v", got, want)
 	}
-	_, err = b.client.Status(ctx, b.address, "orders/8.1")
+	_, err = w.client.Status(ctx, w.address, "orders/8.1")
 	if got, want := err, api.ErrNoTask; !errors.Is(got, want) {
 		t.Errorf("unknown task: got %v, want %v", got, want)
 	}
@@ -192,18 +192,18 @@
 
 func TestReportLag(t *testing.T) {
 	ctx := context.Background()
-	b := newTestWorker(t)
+	w := newTestWorker(t)
 	for i, want := range []int{0, 0, 1} {
-		report, err := b.client.Report(ctx, b.address)
+		report, err := w.client.Report(ctx, w.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := len(report.Tasks); got != want {
 			t.Errorf("report %d: got %d tasks, want %d", i, got, want)
 		}
-		if _, err := b.start(nil); err != nil {
+		if _, err := w.start(nil); err != nil {
 			t.Fatal(err)
 		}
-		b.now = b.now.Add(600 * time.Millisecond)
+		w.now = w.now.Add(600 * time.Millisecond)
 	}
 }
