--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -175,6 +175,7 @@
 
 // inject injects a fault, and removes it after its duration.
 func (s *soak) inject(ctx context.Context, fault Fault) {
+	// temporarily starts an effect and stops it after the fault's duration.
 	temporarily := func(start, stop func()) {
 		start()
 		sleep(ctx, fault.Duration)
@@ -252,8 +253,8 @@
 func (s *soak) submitJob(ctx context.Context, n int) {
 	outcomeUnknown := false
 	for attempt := range maxAttempts {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		status := s.platform.Submit(call, s.callerAddresses[(n+attempt)%len(s.callerAddresses)], jobID(n), stepsPerJob, tasksPerStep)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		status := s.platform.Submit(callCtx, s.callerAddresses[(n+attempt)%len(s.callerAddresses)], jobID(n), stepsPerJob, tasksPerStep)
 		cancel()
 		switch status {
 		case 200:
@@ -294,8 +295,8 @@
 			continue
 		}
 		id, node := due[random.IntN(len(due))], s.callerAddresses[random.IntN(len(s.callerAddresses))]
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		state, notFound := s.platform.LookupState(call, node, id)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		state, notFound := s.platform.LookupState(callCtx, node, id)
 		cancel()
 		if notFound || state == "failed" || state == "cancelled" {
 			s.addViolation("accepted job %s has state %q (unknown: %v) at node %s", id, state, notFound, node)
@@ -308,8 +309,8 @@
 	end := time.Now().Add(recoveryTimeout)
 	for id := range s.accepted {
 		for n := 0; ; n++ {
-			call, cancel := context.WithTimeout(ctx, callTimeout)
-			state, _ := s.platform.LookupState(call, s.callerAddresses[n%len(s.callerAddresses)], id)
+			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+			state, _ := s.platform.LookupState(callCtx, s.callerAddresses[n%len(s.callerAddresses)], id)
 			cancel()
 			if state == "complete" {
 				break
