--- a/internal/experiment/bound.go
+++ b/internal/experiment/bound.go
@@ -20,8 +20,8 @@
 	out := make([]float64, len(demands))
 	for class := share.Urgent; class <= share.Batch; class++ {
 		low, high := 0.0, 1.0
-		for _, c := range demands {
-			high = max(high, (capacity+1)/c.weight)
+		for _, d := range demands {
+			high = max(high, (capacity+1)/d.weight)
 		}
 		for range bisectionSteps {
 			level := (low + high) / 2
@@ -31,9 +31,9 @@
 				low = level
 			}
 		}
-		for i, c := range demands {
-			if c.class == class {
-				out[i] = min(c.demand, low*c.weight)
+		for i, d := range demands {
+			if d.class == class {
+				out[i] = min(d.demand, low*d.weight)
 			}
 		}
 		capacity = max(0, capacity-allocatedAt(low, class, demands))
@@ -44,9 +44,9 @@
 // allocatedAt returns the slots that a class uses at a water level.
 func allocatedAt(level float64, class share.Class, demands []flowDemand) float64 {
 	sum := 0.0
-	for _, c := range demands {
-		if c.class == class {
-			sum += min(c.demand, level*c.weight)
+	for _, d := range demands {
+		if d.class == class {
+			sum += min(d.demand, level*d.weight)
 		}
 	}
 	return sum
--- a/internal/experiment/deployment.go
+++ b/internal/experiment/deployment.go
@@ -82,7 +82,7 @@
 	return out
 }
 
-// share returns a team's part of the slots by weight.
+// share returns a team's weighted share of the slots.
 func (d Deployment) share(team int) float64 {
 	sum := 0.0
 	for _, w := range d.Weights {
--- a/internal/experiment/pool_test.go
+++ b/internal/experiment/pool_test.go
@@ -80,11 +80,11 @@
 		turns []turn
 		want  int
 	}{
-		"none":                         {nil, 0},
-		"from the spare pool":          {turns(0), 8},
-		"nothing to do again":          {turns(0, 0), 8},
-		"two pools":                    {turns(0, 1), 8 + 9},
-		"taken back from where it was": {turns(0, 1, 0), 8 + 9},
+		"none":                   {nil, 0},
+		"from the spare pool":    {turns(0), 8},
+		"same pool again":        {turns(0, 0), 8},
+		"two pools":              {turns(0, 1), 8 + 9},
+		"back to the first pool": {turns(0, 1, 0), 8 + 9},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/experiment/pooltrials.go
+++ b/internal/experiment/pooltrials.go
@@ -17,7 +17,8 @@
 }
 
 // plannerPolicies returns the planner with the deployment's weights, followed by
-// variants with larger and larger weights of moves, which trade moves for late work.
+// variants with larger and larger weights of moves, which move fewer hosts and have
+// more late work.
 func plannerPolicies(d Deployment) []namedPoolPolicy {
 	weights := deploymentWeights[d.Name]
 	policies := []namedPoolPolicy{{"planner", newPlannerPolicy(weights)}}
--- a/internal/experiment/share.go
+++ b/internal/experiment/share.go
@@ -65,7 +65,7 @@
 	busy          int
 	overflow      []*shareRequest // started while all slots were busy
 	running       []int           // by flow
-	unconstrained []int           // by flow: would be running if each had started on arrival
+	unconstrained []int           // by flow: requests that would be running if each had started on arrival
 	waiting       int             // queued by the policy
 	measure       *shareMeasure
 
