--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -6,7 +6,7 @@
 //	server := worker.New(worker.Config{Name: "worker-1", Incarnation: "a"})
 //	err := web.Serve(ctx, web.Config{Address: address, Handler: server.Handler(), Log: logger})
 //
-// A task's body may be a Job in JSON, which describes what the task really does.
+// A task's body may be a Workload in JSON, which describes what the task really does.
 // Tasks use no CPU: each call computes their progress from the elapsed time.
 package worker
 
@@ -102,7 +102,7 @@
 	router.POST(api.RenewPath, s.renew)
 	// Ids may contain slashes, so the action is split from the path in the handler.
 	router.GET(api.TasksPath+"/*id", s.status)
-	router.POST(api.TasksPath+"/*id", s.act)
+	router.POST(api.TasksPath+"/*id", s.execute)
 	router.PUT("/standin/faults", s.putFaults)
 	router.GET("/standin/stats", s.getStats)
 	return router
@@ -123,7 +123,7 @@
 	s.handle(w, func(now time.Time) (any, refusal) { return s.runner.start(now, start) })
 }
 
-func (s *Server) act(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+func (s *Server) execute(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	id, action := splitAction(params.ByName("id"))
 	switch action {
 	case api.RenewAction, api.StopAction, api.CheckpointAction, api.ThrottleAction:
