--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -3,8 +3,8 @@
 //
 // # Usage
 //
-//	caller := call.New(call.Config{Timeout: 2 * time.Second})
-//	answer, err := caller.Do(ctx, http.MethodPost, url, body)
+//	client := call.New(call.Config{Timeout: 2 * time.Second})
+//	response, err := client.Do(ctx, http.MethodPost, url, body)
 //	switch {
 //	case errors.Is(err, call.ErrNotSent): // had no effect
 //	case err != nil:                      // may have had an effect
@@ -30,34 +30,34 @@
 const DefaultTimeout = 2 * time.Second
 
 const (
-	maxAnswerBytes  = 64 << 20
-	maxIdleConns    = 8
-	idleConnTimeout = 30 * time.Second
+	maxResponseBytes = 64 << 20
+	maxIdleConns     = 8
+	idleConnTimeout  = 30 * time.Second
 )
 
-// Config configures a Caller.
+// Config configures a Client.
 type Config struct {
-	// Timeout bounds one call, including the reading of its answer.
+	// Timeout bounds one call, including the reading of its response.
 	Timeout time.Duration
 	// Header is added to each request.
 	Header http.Header
 }
 
-// Answer is the answer to a call.
-type Answer struct {
+// Response is the response to a call.
+type Response struct {
 	Status int
 	Body   []byte
 }
 
-// Caller makes calls over persistent connections. It is safe for concurrent use.
-type Caller struct {
+// Client makes calls over persistent connections. It is safe for concurrent use.
+type Client struct {
 	timeout time.Duration
 	header  http.Header
 	client  *http.Client
 }
 
-// New returns a Caller that connects on its first call.
-func New(cfg Config) *Caller {
+// New returns a Client that connects on its first call.
+func New(cfg Config) *Client {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = DefaultTimeout
 	}
@@ -66,37 +66,37 @@
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	return &Caller{timeout: cfg.Timeout, header: cfg.Header, client: &http.Client{Transport: transport}}
+	return &Client{timeout: cfg.Timeout, header: cfg.Header, client: &http.Client{Transport: transport}}
 }
 
 // Close closes idle connections.
-func (c *Caller) Close() {
+func (c *Client) Close() {
 	c.client.CloseIdleConnections()
 }
 
-// Do makes one request and reads the whole answer. An error marked ErrNotSent means
+// Do makes one request and reads the whole response. An error marked ErrNotSent means
 // that the request was not sent. If the body is cut off, Do returns an error and
-// the answer's status.
-func (c *Caller) Do(ctx context.Context, method, url string, body []byte) (Answer, error) {
+// the response's status.
+func (c *Client) Do(ctx context.Context, method, url string, body []byte) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, url, bytes.NewReader(body))
 	if err != nil {
-		return Answer{}, errors.Mark(err, ErrNotSent)
+		return Response{}, errors.Mark(err, ErrNotSent)
 	}
 	for name, values := range c.header {
 		request.Header[name] = values
 	}
 	response, err := c.client.Do(request)
 	if err != nil && !sent.Load() {
-		return Answer{}, errors.Mark(err, ErrNotSent)
+		return Response{}, errors.Mark(err, ErrNotSent)
 	}
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
-	return Answer{Status: response.StatusCode, Body: data}, err
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	return Response{Status: response.StatusCode, Body: data}, err
 }
--- a/internal/platform/api.go
+++ b/internal/platform/api.go
@@ -29,19 +29,19 @@
 	Prefix string `json:"prefix"`
 }
 
-// RowsAnswer is the answer to a GetRequest or ScanRequest.
-type RowsAnswer struct {
+// RowsResponse is the response to a GetRequest or ScanRequest.
+type RowsResponse struct {
 	Rows []table.Row `json:"rows"`
 }
 
-// ConflictAnswer is the body of a 409 answer to a commit.
-type ConflictAnswer struct {
+// ConflictResponse is the body of a 409 response to a commit.
+type ConflictResponse struct {
 	Key  string `json:"key"`
 	Want uint64 `json:"want"`
 	Got  uint64 `json:"got"`
 }
 
-// HostsAnswer is the answer to a GET of HostsPath.
-type HostsAnswer struct {
+// HostsResponse is the response to a GET of HostsPath.
+type HostsResponse struct {
 	Hosts []Host `json:"hosts"`
 }
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -15,9 +15,9 @@
 func BenchmarkHosts(b *testing.B) {
 	for _, n := range []int{50, 200, 600, 1700} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			var answer platform.HostsAnswer
+			var response platform.HostsResponse
 			for i := range n {
-				answer.Hosts = append(answer.Hosts, platform.Host{
+				response.Hosts = append(response.Hosts, platform.Host{
 					Name: fmt.Sprintf("worker-%04d", i), DataCentre: fmt.Sprintf("dc-%d", i%8),
 					Rack: fmt.Sprintf("rack-%03d", i/4), Pool: fmt.Sprintf("pool-%02d", i%27), State: platform.Live,
 					Endpoints: []platform.Endpoint{{
@@ -26,13 +26,13 @@
 					}},
 				})
 			}
-			encoded, err := json.Marshal(answer)
+			encoded, err := json.Marshal(response)
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				var got platform.HostsAnswer
+				var got platform.HostsResponse
 				if err := json.Unmarshal(encoded, &got); err != nil {
 					b.Fatal(err)
 				}
@@ -42,24 +42,24 @@
 	}
 }
 
-// BenchmarkRows measures the decoding of the answer to a scan of small rows, such as
-// hosts' assignments.
+// BenchmarkRows measures the decoding of the response to a scan of small rows, such
+// as hosts' assignments.
 func BenchmarkRows(b *testing.B) {
 	for _, n := range []int{50, 200, 600, 1700} {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
-			var answer platform.RowsAnswer
+			var response platform.RowsResponse
 			for i := range n {
-				answer.Rows = append(answer.Rows, table.Row{
+				response.Rows = append(response.Rows, table.Row{
 					Key: fmt.Sprintf("pool/host/worker-%04d", i), Value: make([]byte, 70), Version: uint64(i + 1),
 				})
 			}
-			encoded, err := json.Marshal(answer)
+			encoded, err := json.Marshal(response)
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				var got platform.RowsAnswer
+				var got platform.RowsResponse
 				if err := json.Unmarshal(encoded, &got); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -14,7 +14,7 @@
 //
 // Client implements table.Store with the errors that table.Store documents: a
 // call that the platform refused or never received is table.ErrUnavailable; a
-// commit that was sent and got no answer is table.ErrUnknown.
+// commit that was sent and got no response is table.ErrUnknown.
 package platform
 
 import (
@@ -46,7 +46,7 @@
 // Client calls the platform. It is safe for concurrent use.
 type Client struct {
 	baseURL string
-	caller  *call.Caller
+	client  *call.Client
 }
 
 var _ table.Store = (*Client)(nil)
@@ -56,13 +56,13 @@
 	header := http.Header{ProcessHeader: {cfg.Process}}
 	return &Client{
 		baseURL: "http://" + cfg.Address.String(),
-		caller:  call.New(call.Config{Timeout: cfg.Timeout, Header: header}),
+		client:  call.New(call.Config{Timeout: cfg.Timeout, Header: header}),
 	}
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() {
-	c.caller.Close()
+	c.client.Close()
 }
 
 // Get implements table.Store.
@@ -88,109 +88,109 @@
 	if err != nil {
 		return errors.Wrap(err, "encode transaction")
 	}
-	answer, err := c.caller.Do(ctx, http.MethodPost, c.baseURL+CommitPath, body)
+	response, err := c.client.Do(ctx, http.MethodPost, c.baseURL+CommitPath, body)
 	switch {
 	case errors.Is(err, call.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "commit: %v", err)
-	case err != nil && answer.Status != http.StatusConflict:
+	case err != nil && response.Status != http.StatusConflict:
 		return errors.Wrapf(table.ErrUnknown, "commit: %v", err)
 	}
-	return errorFromAnswer(answer)
+	return errorFromResponse(response)
 }
 
 // Hosts returns the platform's list of hosts, in name order. The list lags behind
 // the hosts' actual states.
 func (c *Client) Hosts(ctx context.Context) ([]Host, error) {
-	var answer HostsAnswer
-	if err := c.read(ctx, http.MethodGet, HostsPath, nil, &answer); err != nil {
+	var response HostsResponse
+	if err := c.read(ctx, http.MethodGet, HostsPath, nil, &response); err != nil {
 		return nil, err
 	}
-	return answer.Hosts, nil
+	return response.Hosts, nil
 }
 
 // Reboot asks the platform to restart a host. Host.Boot has increased once the
 // host is back. Another request while the host restarts has no effect.
 func (c *Client) Reboot(ctx context.Context, name string) error {
-	answer, err := c.caller.Do(ctx, http.MethodPost, c.baseURL+HostsPath+"/"+url.PathEscape(name)+RebootAction, nil)
+	response, err := c.client.Do(ctx, http.MethodPost, c.baseURL+HostsPath+"/"+url.PathEscape(name)+RebootAction, nil)
 	switch {
 	case errors.Is(err, call.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "reboot %q: %v", name, err)
 	case err != nil:
 		return errors.Wrapf(table.ErrUnknown, "reboot %q: %v", name, err)
 	}
-	return errors.Wrapf(errorFromAnswer(answer), "reboot %q", name)
+	return errors.Wrapf(errorFromResponse(response), "reboot %q", name)
 }
 
 // PutObject stores an object under name; storing it again replaces it.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
-	answer, err := c.caller.Do(ctx, http.MethodPut, c.baseURL+objectPath(name), data)
+	response, err := c.client.Do(ctx, http.MethodPut, c.baseURL+objectPath(name), data)
 	switch {
 	case errors.Is(err, call.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "put object %q: %v", name, err)
 	case err != nil:
 		return errors.Wrapf(table.ErrUnknown, "put object %q: %v", name, err)
 	}
-	return errors.Wrapf(errorFromAnswer(answer), "put object %q", name)
+	return errors.Wrapf(errorFromResponse(response), "put object %q", name)
 }
 
 // GetObject returns the object's bytes, ErrNoObject or table.ErrUnavailable.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
-	answer, err := c.caller.Do(ctx, http.MethodGet, c.baseURL+objectPath(name), nil)
+	response, err := c.client.Do(ctx, http.MethodGet, c.baseURL+objectPath(name), nil)
 	switch {
 	case err != nil:
 		return nil, errors.Wrapf(table.ErrUnavailable, "get object %q: %v", name, err)
-	case answer.Status == http.StatusNotFound:
+	case response.Status == http.StatusNotFound:
 		return nil, errors.Wrapf(ErrNoObject, "get object %q", name)
-	case answer.Status != http.StatusOK:
-		return nil, errors.Wrapf(table.ErrUnavailable, "get object %q: status %d", name, answer.Status)
+	case response.Status != http.StatusOK:
+		return nil, errors.Wrapf(table.ErrUnavailable, "get object %q: status %d", name, response.Status)
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
-// readRows posts a read request and returns the rows of its answer.
+// readRows posts a read request and returns the rows of its response.
 func (c *Client) readRows(ctx context.Context, path string, request any) ([]table.Row, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode the request to %s", path)
 	}
-	var answer RowsAnswer
-	if err := c.read(ctx, http.MethodPost, path, body, &answer); err != nil {
+	var response RowsResponse
+	if err := c.read(ctx, http.MethodPost, path, body, &response); err != nil {
 		return nil, err
 	}
-	return answer.Rows, nil
+	return response.Rows, nil
 }
 
 // read makes a call without side effects, so every failure is
 // table.ErrUnavailable.
 func (c *Client) read(ctx context.Context, method, path string, body []byte, into any) error {
-	answer, err := c.caller.Do(ctx, method, c.baseURL+path, body)
+	response, err := c.client.Do(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return errors.Wrapf(table.ErrUnavailable, "%s: %v", path, err)
 	}
-	if answer.Status != http.StatusOK {
-		return errors.Wrapf(table.ErrUnavailable, "%s: status %d", path, answer.Status)
+	if response.Status != http.StatusOK {
+		return errors.Wrapf(table.ErrUnavailable, "%s: status %d", path, response.Status)
 	}
-	if err := json.Unmarshal(answer.Body, into); err != nil {
+	if err := json.Unmarshal(response.Body, into); err != nil {
 		return errors.Wrapf(table.ErrUnavailable, "%s: answer cannot be decoded: %v", path, err)
 	}
 	return nil
 }
 
-// errorFromAnswer maps the answer to a write onto the errors of table.Store.
-func errorFromAnswer(answer call.Answer) error {
-	switch answer.Status {
+// errorFromResponse maps the response to a write onto the errors of table.Store.
+func errorFromResponse(response call.Response) error {
+	switch response.Status {
 	case http.StatusOK, http.StatusNoContent:
 		return nil
 	case http.StatusConflict:
-		var conflict ConflictAnswer
+		var conflict ConflictResponse
 		// A body that cannot be decoded is ignored: the status proves the conflict,
 		// and the body only names the row.
-		_ = json.Unmarshal(answer.Body, &conflict)
+		_ = json.Unmarshal(response.Body, &conflict)
 		return &table.ConflictError{Key: conflict.Key, Want: conflict.Want, Got: conflict.Got}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusNotFound:
-		return errors.Wrapf(table.ErrUnavailable, "status %d", answer.Status)
+		return errors.Wrapf(table.ErrUnavailable, "status %d", response.Status)
 	default:
-		return errors.Wrapf(table.ErrUnknown, "status %d", answer.Status)
+		return errors.Wrapf(table.ErrUnknown, "status %d", response.Status)
 	}
 }
 
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestClientErrors(t *testing.T) {
-	conflict := platform.ConflictAnswer{Key: "a", Want: 1, Got: 2}
+	conflict := platform.ConflictResponse{Key: "a", Want: 1, Got: 2}
 	tests := map[string]struct {
 		handler    http.HandlerFunc
 		refuse     bool
@@ -53,7 +53,7 @@
 		wantGet    string
 		wantObject string
 	}{
-		"applied":     {handler: respondWith(http.StatusOK, platform.RowsAnswer{Rows: []table.Row{{Key: "a"}}}), wantCommit: "ok", wantGet: "ok", wantObject: "ok"},
+		"applied":     {handler: respondWith(http.StatusOK, platform.RowsResponse{Rows: []table.Row{{Key: "a"}}}), wantCommit: "ok", wantGet: "ok", wantObject: "ok"},
 		"conflict":    {handler: respondWith(http.StatusConflict, conflict), wantCommit: "conflict", wantGet: "unavailable", wantObject: "unavailable"},
 		"down":        {handler: respondWith(http.StatusServiceUnavailable, nil), wantCommit: "unavailable", wantGet: "unavailable", wantObject: "unavailable"},
 		"over rate":   {handler: respondWith(http.StatusTooManyRequests, nil), wantCommit: "unavailable", wantGet: "unavailable", wantObject: "unavailable"},
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -177,7 +177,7 @@
 	var conflict *table.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		web.WriteJSON(w, http.StatusConflict, api.ConflictAnswer{Key: conflict.Key, Want: conflict.Want, Got: conflict.Got})
+		web.WriteJSON(w, http.StatusConflict, api.ConflictResponse{Key: conflict.Key, Want: conflict.Want, Got: conflict.Got})
 	case err != nil:
 		s.reject(w, r, http.StatusServiceUnavailable)
 	case s.loseAnswer(r):
@@ -205,14 +205,14 @@
 		return
 	}
 	s.delayAnswer(r)
-	web.WriteJSON(w, http.StatusOK, api.RowsAnswer{Rows: rows})
+	web.WriteJSON(w, http.StatusOK, api.RowsResponse{Rows: rows})
 }
 
 func (s *Server) listHosts(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	s.mu.Lock()
 	hosts := s.hosts.list(s.now(), s.faults.listLag)
 	s.mu.Unlock()
-	web.WriteJSON(w, http.StatusOK, api.HostsAnswer{Hosts: hosts})
+	web.WriteJSON(w, http.StatusOK, api.HostsResponse{Hosts: hosts})
 }
 
 func (s *Server) putHost(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
--- a/internal/worker/api.go
+++ b/internal/worker/api.go
@@ -78,7 +78,7 @@
 	IDs   []string      `json:"ids"`
 }
 
-// RenewalReport is the answer to a Renewal: the current status of each task that
+// RenewalReport is the response to a Renewal: the current status of each task that
 // the worker knows.
 type RenewalReport struct {
 	Incarnation string   `json:"incarnation"`
@@ -109,7 +109,7 @@
 	Tasks       []Status  `json:"tasks"`
 }
 
-// Refusal is the body of an answer that refuses a call.
+// Refusal is the body of a response that refuses a call.
 type Refusal struct {
 	Reason string `json:"reason"`
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -31,16 +31,17 @@
 	// ErrUnreachable means that the worker did not receive the call.
 	ErrUnreachable = errors.New("worker is unreachable")
 	// ErrUnknown means that the call may have taken effect, or may still do so.
-	ErrUnknown = errors.New("worker's answer was lost")
+	ErrUnknown = errors.New("worker's response was lost")
 	// ErrStale means that the worker has accepted a call of a later epoch.
-	ErrStale = errors.New("epoch is stale")
+	ErrStale = errors.New("worker refused the call: a later epoch was accepted")
 	// ErrOtherIncarnation means that the worker at the address is not the
 	// incarnation that the start names.
-	ErrOtherIncarnation = errors.New("worker has restarted")
-	// ErrRefused means that the worker will not run the task.
-	ErrRefused = errors.New("worker refused the task")
+	ErrOtherIncarnation = errors.New("worker refused the start: it names another incarnation of the worker")
+	// ErrRefused means that the worker will not run the task, because it does not
+	// fit.
+	ErrRefused = errors.New("worker refused the start: the task does not fit")
 	// ErrNoTask means that the worker has never received the task.
-	ErrNoTask = errors.New("worker does not know the task")
+	ErrNoTask = errors.New("worker refused the call: it has never received the task")
 )
 
 // Config configures a Client.
@@ -51,17 +52,17 @@
 
 // Client calls workers. It is safe for concurrent use.
 type Client struct {
-	caller *call.Caller
+	client *call.Client
 }
 
 // New returns a Client that connects on its first call.
 func New(cfg Config) *Client {
-	return &Client{caller: call.New(call.Config{Timeout: cfg.Timeout})}
+	return &Client{client: call.New(call.Config{Timeout: cfg.Timeout})}
 }
 
 // Close closes idle connections.
 func (c *Client) Close() {
-	c.caller.Close()
+	c.client.Close()
 }
 
 // Start asks the worker to run the task. If the worker already has a task with the
@@ -120,36 +121,36 @@
 	return status, err
 }
 
-// do makes one call and decodes its answer into into.
+// do makes one call and decodes its response into the last argument.
 func (c *Client) do(ctx context.Context, method string, address netip.AddrPort, path string, request, into any) error {
 	var body []byte
 	if request != nil {
 		encoded, err := json.Marshal(request)
 		if err != nil {
-			return errors.Wrap(err, "request cannot be encoded")
+			return errors.Wrap(err, "encode the request to a worker")
 		}
 		body = encoded
 	}
-	answer, err := c.caller.Do(ctx, method, "http://"+address.String()+path, body)
+	response, err := c.client.Do(ctx, method, "http://"+address.String()+path, body)
 	switch {
 	case errors.Is(err, call.ErrNotSent):
 		return errors.Wrapf(ErrUnreachable, "%s %s: %v", address, path, err)
 	case err != nil:
 		return errors.Wrapf(ErrUnknown, "%s %s: %v", address, path, err)
-	case answer.Status != http.StatusOK:
-		return errors.Wrapf(refusalError(answer), "%s %s: status %d", address, path, answer.Status)
+	case response.Status != http.StatusOK:
+		return errors.Wrapf(refusalError(response), "%s %s: status %d", address, path, response.Status)
 	}
-	if err := json.Unmarshal(answer.Body, into); err != nil {
-		return errors.Wrapf(ErrUnknown, "%s %s: broken answer: %v", address, path, err)
+	if err := json.Unmarshal(response.Body, into); err != nil {
+		return errors.Wrapf(ErrUnknown, "%s %s: response cannot be decoded: %v", address, path, err)
 	}
 	return nil
 }
 
-// refusalError returns the error for an answer that refuses a call.
-func refusalError(answer call.Answer) error {
+// refusalError returns the error for a response that refuses a call.
+func refusalError(response call.Response) error {
 	var body Refusal
 	// Without a known reason, the call may have taken effect.
-	_ = json.Unmarshal(answer.Body, &body)
+	_ = json.Unmarshal(response.Body, &body)
 	switch body.Reason {
 	case ReasonStaleEpoch:
 		return ErrStale
