--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -8,7 +8,8 @@
 	"github.com/lovagedyke/lovagedyke/pkg/api"
 )
 
-// admission is the slot and the permit that a request holds while it runs.
+// admission is the slot of a service and the permit of a team that a request
+// holds while it runs.
 type admission struct {
 	service *service
 	permits *permits
@@ -92,26 +93,27 @@
 	return refusal
 }
 
-// end releases the slot and the permit. The work is known to have ended.
+// end releases the slot and the permit of work that is known to have ended.
 func (a *admission) end(now time.Time) {
 	a.service.releaseSlot(now, a.ticket)
 	a.permits.release(a.team, now)
 }
 
-// linger releases the slot but keeps the permit until the work can no longer be
-// running.
+// linger releases the slot but keeps the permit until the given time, after
+// which the work can no longer be running.
 func (a *admission) linger(now, until time.Time) {
 	a.service.releaseSlot(now, a.ticket)
 	a.permits.ledger.Linger(a.team, until)
 }
 
-// noEndpointProblem refuses work for which no endpoint is available.
+// noEndpointProblem returns the refusal of work for which no endpoint is
+// available.
 func noEndpointProblem() *api.Problem {
 	return unavailableProblem("no-endpoint", "no endpoint of the service takes work", defaultRetryAfter)
 }
 
-// callerGoneProblem ends a request whose caller has disconnected, so it appears
-// only in logs and metrics.
+// callerGoneProblem returns the problem for a request whose caller has
+// disconnected. It appears only in logs and metrics.
 func callerGoneProblem() *api.Problem {
 	return notRunProblem(statusClientClosedRequest, "caller-gone", "", "the caller closed the connection")
 }
@@ -120,7 +122,7 @@
 // request whose caller has disconnected.
 const statusClientClosedRequest = 499
 
-// shareClass converts a class of the catalogue to one of the scheduler.
+// shareClass converts a class of the catalogue to the scheduler's class.
 func shareClass(class catalogue.Class) share.Class {
 	switch class {
 	case catalogue.ClassUrgent:
--- a/internal/entry/charges.go
+++ b/internal/entry/charges.go
@@ -38,7 +38,7 @@
 	sequence atomic.Uint64
 }
 
-// newCharges returns charges that are written once run is called.
+// newCharges returns charges. Nothing is written before run is called.
 func newCharges(node peerNode, logger *log.Logger) *charges {
 	return &charges{
 		eventLoop: newEventLoop[charge.Effect](maxChargeEvents),
@@ -98,8 +98,8 @@
 	c.post(func(now time.Time) []charge.Effect { return c.recorder.HandleConfirm(now, confirm) })
 }
 
-// forget tells a peer which records it no longer has to hold. A peer that
-// misses this writes the records to the table, where they already are, so
+// forget notifies a peer of records that it no longer has to hold. A peer that
+// misses this writes the records to the table, which has them already, so
 // nothing changes.
 func (c *charges) forget(ctx context.Context, effect charge.Forget) {
 	members, _ := c.node.Roster()
@@ -119,7 +119,7 @@
 }
 
 // holdForPeer drops a peer's forgotten records and holds its new ones. It
-// returns the records for which there was room.
+// returns the new records that fit in the recorder's buffer.
 func (c *charges) holdForPeer(from roster.Identity, entries, forgotten []charge.Record) []charge.Record {
 	held, _ := query(c.eventLoop, func(now time.Time) ([]charge.Record, []charge.Effect) {
 		effects := c.recorder.HandleForget(now, charge.Forget{To: c.node.Self().Identity, Records: forgotten})
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -66,7 +66,7 @@
 	confirmWaiters map[claim.Token]chan claim.Confirm
 }
 
-// newClaims returns claims that answer once run is called.
+// newClaims returns claims. Requests wait until run is called.
 func newClaims(node peerNode, retention time.Duration) *claims {
 	return &claims{
 		eventLoop: newEventLoop[claim.Effect](maxClaimEvents),
@@ -329,7 +329,8 @@
 	return err == nil && reply.GetTaken()
 }
 
-// releaseLocal releases a claim in this process's replica.
+// releaseLocal releases a claim in this process's replica. It returns false if
+// the replica has stopped.
 func (c *claims) releaseLocal(id claim.ID, token claim.Token) bool {
 	return c.post(func(now time.Time) []claim.Effect {
 		return c.replica.Release(now, id, token)
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -151,11 +151,11 @@
 	return d.readmit()
 }
 
-// handleRefusal retries a call that an endpoint refused, at other endpoints
-// and, after maxRefusals of them, when it has got a slot again. It returns nil
-// if another attempt follows. A refused attempt costs its endpoint no work, so
-// it does not count against the retry budget. A call that is not repeatable
-// ends here: the caller has to repeat it.
+// handleRefusal handles an endpoint's refusal of an attempt. A repeatable call
+// is retried at another endpoint or, after maxRefusals refusals, queued again.
+// Any other call ends here: the caller has to repeat it. handleRefusal returns
+// nil if another attempt follows. A refused attempt costs its endpoint no work,
+// so it does not count against the retry budget.
 func (d *dispatch) handleRefusal(a *attempt, res attemptResult) *api.Problem {
 	closeBody(res.response)
 	now := d.entry.now()
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -382,12 +382,12 @@
 		<-release[int(body[0]-'0')]
 		_, _ = w.Write(body)
 	})
-	answers := make([]chan string, callers)
+	bodies := make([]chan string, callers)
 	for i := range callers {
-		answers[i] = make(chan string, 1)
+		bodies[i] = make(chan string, 1)
 		go func() {
 			_, body, _, _ := f.do(testRequest{body: fmt.Sprint(i)})
-			answers[i] <- body
+			bodies[i] <- body
 		}()
 	}
 	for range callers {
@@ -395,7 +395,7 @@
 	}
 	for i := callers - 1; i >= 0; i-- {
 		close(release[i])
-		if got, want := <-answers[i], fmt.Sprint(i); got != want {
+		if got, want := <-bodies[i], fmt.Sprint(i); got != want {
 			t.Errorf("response to caller %d: got %q, want %q", i, got, want)
 		}
 	}
--- a/internal/entry/eventloop.go
+++ b/internal/entry/eventloop.go
@@ -62,8 +62,8 @@
 func query[Effect, Value any](l *eventLoop[Effect], event func(now time.Time) (Value, []Effect)) (value Value, ok bool) {
 	values := make(chan Value, 1)
 	posted := l.post(func(now time.Time) []Effect {
-		answer, effects := event(now)
-		values <- answer
+		result, effects := event(now)
+		values <- result
 		return effects
 	})
 	if !posted {
--- a/internal/entry/forward_bench_test.go
+++ b/internal/entry/forward_bench_test.go
@@ -92,18 +92,18 @@
 // BenchmarkBody sends a body through an entry and reports how much the heap
 // grows at its peak. The heap includes the caller, the entry and the endpoint.
 func BenchmarkBody(b *testing.B) {
-	for _, way := range []string{"request", "answer"} {
+	for _, direction := range []string{"request", "answer"} {
 		for _, megabytes := range []int64{25, 50, 100, 200} {
-			b.Run(fmt.Sprintf("%s/MB=%03d", way, megabytes), func(b *testing.B) {
-				benchmarkBody(b, way == "answer", megabytes<<20)
+			b.Run(fmt.Sprintf("%s/MB=%03d", direction, megabytes), func(b *testing.B) {
+				benchmarkBody(b, direction == "answer", megabytes<<20)
 			})
 		}
 	}
 }
 
-func benchmarkBody(b *testing.B, answer bool, size int64) {
+func benchmarkBody(b *testing.B, inResponse bool, size int64) {
 	f := newFixture(b, func(w http.ResponseWriter, r *http.Request) {
-		if answer {
+		if inResponse {
 			w.Header().Set("Content-Length", fmt.Sprint(size))
 			_, _ = io.CopyN(w, zeroReader{}, size)
 			return
@@ -113,7 +113,7 @@
 		}
 	})
 	sent := size
-	if answer {
+	if inResponse {
 		sent = 0
 	}
 	var before runtime.MemStats
@@ -136,7 +136,7 @@
 			b.Fatal(err)
 		}
 		n, err := io.Copy(io.Discard, response.Body)
-		if err != nil || response.StatusCode != http.StatusOK || answer && n != size {
+		if err != nil || response.StatusCode != http.StatusOK || inResponse && n != size {
 			b.Errorf("got status %d, %d bytes and %v, want 200", response.StatusCode, n, err)
 		}
 		_ = response.Body.Close()
--- a/internal/entry/idempotent.go
+++ b/internal/entry/idempotent.go
@@ -12,7 +12,8 @@
 
 // serveIdempotent serves a request with an idempotency key. It claims the
 // request's only attempt before admission: otherwise a refusal for lack of
-// capacity could say "not run" of a request that an earlier attempt ran.
+// capacity could report "not run" for a request that an earlier attempt has
+// run.
 func (e *Entry) serveIdempotent(w http.ResponseWriter, c *call) *api.Problem {
 	request := claimRequest(c)
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
--- a/internal/entry/peerservice.go
+++ b/internal/entry/peerservice.go
@@ -47,8 +47,8 @@
 
 // Release records that a granted attempt will never be dispatched.
 func (s *peerService) Release(_ context.Context, request *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
-	taken := s.entry.claims.releaseLocal(peer.ClaimID(request.GetId()), peer.Token(request.GetToken()))
-	return &peerpb.ReleaseReply{Taken: taken}, nil
+	posted := s.entry.claims.releaseLocal(peer.ClaimID(request.GetId()), peer.Token(request.GetToken()))
+	return &peerpb.ReleaseReply{Taken: posted}, nil
 }
 
 // Mirror records a claim as the secondary of its ID.
--- a/internal/entry/permits_test.go
+++ b/internal/entry/permits_test.go
@@ -9,7 +9,7 @@
 
 const team = "tackle"
 
-// newTestPermits returns permits with a ledger that holds n.
+// newTestPermits returns permits with a ledger that holds n permits of team.
 func newTestPermits(n int) *permits {
 	ledger := limit.New(limit.Config{Self: "entry-1/1"})
 	ledger.Apply(limit.Allocation{Team: team, Generation: 1, Limit: n, Granted: map[limit.Member]int{"entry-1/1": n}})
--- a/internal/entry/queue.go
+++ b/internal/entry/queue.go
@@ -261,8 +261,8 @@
 	return record, nil
 }
 
-// tableUnavailableProblem answers a request that needs the platform's table or
-// object store while it does not respond.
+// tableUnavailableProblem returns the problem for a request that needs the
+// platform's table or object store while it does not respond.
 func tableUnavailableProblem() *api.Problem {
 	problem := unknownOutcomeProblem(http.StatusServiceUnavailable, task.ReasonTableUnavailable, "the platform's store does not answer")
 	problem.RetryAfter = api.Duration(defaultRetryAfter)
--- a/internal/manager/configuration.go
+++ b/internal/manager/configuration.go
@@ -120,7 +120,8 @@
 }
 
 // readyToCommit reports whether this manager may commit: every member that was in
-// the roster when it joined has since answered it, or has left.
+// the roster when this manager joined has since answered one of its exchanges, or
+// has left.
 func (m *Manager) readyToCommit() bool {
 	members, _ := m.node.Roster()
 	m.mu.Lock()
--- a/internal/manager/hosts.go
+++ b/internal/manager/hosts.go
@@ -136,7 +136,8 @@
 
 // ownsDrain reports whether this manager may complete the host's drain. The drain
 // of a worker belongs to the process that manages the pool's shard, once no task is
-// left on the worker. The fences are the conditions that it still manages it.
+// left on the worker. The fences are conditions that fail once another process
+// manages the shard.
 func (m *Manager) ownsDrain(row string, current pool.Assignment, worker bool) (fences []table.Condition, owned bool) {
 	if !worker || !m.shards.hasPool(current.Pool) {
 		return nil, m.owns(row, time.Now())
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -6,7 +6,7 @@
 // Several managers may do the same work at once: every write is conditional on
 // the versions that were read, so one of them wins. To save table operations,
 // only the owner of a row works on it. The owner is chosen by rendezvous hashing
-// among the managers that were heard from recently.
+// among the managers that have sent their state recently.
 //
 // # Usage
 //
@@ -42,7 +42,7 @@
 	rosterInterval = time.Second
 	// reportTimeout is how long a rebase waits for the members' reports.
 	reportTimeout = 2 * time.Second
-	// managerTimeout is how long a manager may be silent before the other
+	// managerTimeout is how long a manager may send no state before the other
 	// managers take over the rows that it owns.
 	managerTimeout = 5 * time.Second
 	// eventQueueSize bounds the permit reports, and the drain confirmations,
@@ -166,7 +166,7 @@
 func (m *Manager) owns(row string, now time.Time) bool {
 	best, weight := m.node.Self().Name, rendezvousWeight(row, m.node.Self().Name)
 	for _, peer := range m.node.Peers() {
-		if peer.Role != roster.RoleManager || peer.State != roster.StateActive || now.Sub(peer.Heard) > managerTimeout {
+		if peer.Role != roster.RoleManager || peer.State != roster.StateActive || now.Sub(peer.LastHeard) > managerTimeout {
 			continue
 		}
 		if candidate := rendezvousWeight(row, peer.Name); candidate > weight {
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -26,20 +26,20 @@
 type peerView struct {
 	exchanging atomic.Bool
 	// Guarded by Node.mu.
-	answered bool
-	heardAt  time.Time
-	inForce  uint64
-	permits  map[string]limit.Status
-	// confirmations are received transfers to acknowledge, so that the member
-	// stops repeating them.
+	answered  bool
+	lastHeard time.Time
+	inForce   uint64
+	permits   map[string]limit.Status
+	// confirmations are received transfers that the next state sent to the member
+	// confirms, so that the member stops repeating them.
 	confirmations []*peerpb.Transfer
 }
 
 // PeerStatus describes another member in the state dump.
 type PeerStatus struct {
 	roster.Member
-	Heard   time.Time `json:"heard"`
-	InForce uint64    `json:"revision-in-force"`
+	LastHeard time.Time `json:"heard"`
+	InForce   uint64    `json:"revision-in-force"`
 }
 
 // gossipLoop runs a gossip round each interval, and only every idleRounds
@@ -227,7 +227,7 @@
 	view := n.view(from)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	view.heardAt = time.Now()
+	view.lastHeard = time.Now()
 	view.inForce = max(view.inForce, state.GetConfiguration().GetInForce())
 	view.permits = permits
 }
@@ -298,7 +298,7 @@
 	var peers []PeerStatus
 	for _, member := range members.Members {
 		if view, ok := n.peers[member.Identity]; ok {
-			peers = append(peers, PeerStatus{Member: member, Heard: view.heardAt, InForce: view.inForce})
+			peers = append(peers, PeerStatus{Member: member, LastHeard: view.lastHeard, InForce: view.inForce})
 		}
 	}
 	return peers
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -135,13 +135,13 @@
 // Add attaches a part; it is called before Run.
 func (n *Node) Add(part Part) { n.parts = append(n.parts, part) }
 
-// Self returns this process's entry in the roster.
+// Self returns this process as a member of the roster.
 func (n *Node) Self() roster.Member { return n.config.Self }
 
 // Member returns this process's name in the rows of permits.
 func (n *Node) Member() limit.Member { return limit.Member(n.config.Self.Identity.String()) }
 
-// Configuration returns the holder of the configuration in force.
+// Configuration returns this process's replica of the configuration.
 func (n *Node) Configuration() *revision.Replica { return n.configuration }
 
 // Ledger returns this process's permits.
@@ -197,7 +197,8 @@
 	return n.poll(ctx)
 }
 
-// Leave marks this process as leaving, so that its keys move to others.
+// Leave marks this process as leaving, so that the roster assigns its keys to
+// other members.
 func (n *Node) Leave(ctx context.Context) error {
 	return n.ChangeRoster(ctx, func(current roster.Roster) (roster.Roster, bool) {
 		return roster.Leave(current, n.config.Self.Identity)
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -45,21 +45,21 @@
 
 // requestTeamPermits requests permits for a team from the peers that have idle ones.
 func (n *Node) requestTeamPermits(ctx context.Context, team string) {
-	for _, ask := range n.ledger.TransferRequests(team, n.peerPermits(team)) {
-		member, ok := n.FindMember(ask.To)
+	for _, request := range n.ledger.TransferRequests(team, n.peerPermits(team)) {
+		member, ok := n.FindMember(request.To)
 		if !ok {
 			continue
 		}
-		n.deductIdle(member.Identity, team, ask.Want)
-		n.requestFromMember(ctx, member, ask)
+		n.deductIdle(member.Identity, team, request.Want)
+		n.requestFromMember(ctx, member, request)
 	}
 }
 
 // requestFromMember sends one request and applies the granted transfer.
-func (n *Node) requestFromMember(ctx context.Context, member roster.Member, ask limit.TransferRequest) {
+func (n *Node) requestFromMember(ctx context.Context, member roster.Member, request limit.TransferRequest) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	reply, err := n.Dial(member).Ask(ctx, peer.TransferRequestMessage(ask))
+	reply, err := n.Dial(member).Ask(ctx, peer.TransferRequestMessage(request))
 	if err != nil {
 		// Send no more requests until the peer reports its permits again. If it
 		// granted some, the next exchange repeats the transfer.
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -60,7 +60,7 @@
 	started := time.Now()
 	rows, err := n.config.Store.Get(ctx, revision.HeadKey, roster.Key)
 	if err != nil {
-		return errors.Wrap(err, "read the head")
+		return errors.Wrap(err, "read the head revision and the roster")
 	}
 	newest, err := revision.HeadRevision(rows[0])
 	if err != nil {
@@ -97,11 +97,11 @@
 		return errors.Wrap(err, "read the limits")
 	}
 	for _, row := range rows {
-		grant, err := limit.ParseAllocation(row.Value)
+		allocation, err := limit.ParseAllocation(row.Value)
 		if err != nil {
 			return errors.Wrapf(err, "decode row %q", row.Key)
 		}
-		n.ledger.Apply(grant)
+		n.ledger.Apply(allocation)
 	}
 	n.permitsChanged()
 	return nil
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -11,8 +11,8 @@
 	"github.com/lovagedyke/lovagedyke/internal/revision"
 )
 
-// Service handles the peer calls that every process supports. Processes that
-// hold claims embed it and override the other methods.
+// Service handles the peer calls that every process supports. Entries and managers
+// embed it and override the methods of the other calls that they support.
 type Service struct {
 	node *Node
 }
@@ -45,9 +45,9 @@
 
 // Ask grants permits to a peer.
 func (s *Service) Ask(_ context.Context, request *peerpb.AskRequest) (*peerpb.AskReply, error) {
-	ask := peer.TransferRequest(request)
-	transfer, ok := s.node.ledger.HandleTransferRequest(ask)
-	if !ok && !s.node.ledger.IsMember(ask.Team, ask.From) {
+	transferRequest := peer.TransferRequest(request)
+	transfer, ok := s.node.ledger.HandleTransferRequest(transferRequest)
+	if !ok && !s.node.ledger.IsMember(transferRequest.Team, transferRequest.From) {
 		// The team's row may list a new member that this process doesn't know yet.
 		s.node.PollNow()
 	}
