--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -113,9 +113,9 @@
 			port.StartTLS()
 			defer port.Close()
 			client := http.Client{Transport: &http.Transport{TLSClientConfig: tc.client, DisableKeepAlives: true}}
-			answer, err := client.Get(port.URL)
+			response, err := client.Get(port.URL)
 			if err == nil {
-				_ = answer.Body.Close()
+				_ = response.Body.Close()
 			}
 			if got := err == nil; got != tc.want {
 				t.Errorf("accepted: got %v, want %v (%v)", got, tc.want, err)
--- a/internal/operator/catalogue.go
+++ b/internal/operator/catalogue.go
@@ -35,7 +35,7 @@
 		return
 	}
 	if request.DryRun {
-		h.answerDryRun(w, r, desired)
+		h.writeDryRun(w, r, desired)
 		return
 	}
 	var changes []catalogue.Change
@@ -64,8 +64,8 @@
 	return keys
 }
 
-// answerDryRun writes the changes that applying the catalogue would make.
-func (h *Handler) answerDryRun(w http.ResponseWriter, r *http.Request, desired catalogue.Catalogue) {
+// writeDryRun writes the changes that applying the catalogue would make.
+func (h *Handler) writeDryRun(w http.ResponseWriter, r *http.Request, desired catalogue.Catalogue) {
 	state, err := revision.Load(r.Context(), h.config.Store)
 	if err != nil {
 		writeError(w, err)
@@ -104,15 +104,15 @@
 }
 
 func writeChange(w http.ResponseWriter, change revision.Change, operation string, changes []catalogue.Change) {
-	answer := api.ChangeResponse{Accepted: true, Revision: change.Revision, Operation: operation, Changes: []api.Difference{}}
+	response := api.ChangeResponse{Accepted: true, Revision: change.Revision, Operation: operation, Changes: []api.Difference{}}
 	status := http.StatusAccepted
 	if change.Empty() {
-		answer.Unchanged = true
+		response.Unchanged = true
 		status = http.StatusOK
 	} else {
-		answer.Changes = apiDifferences(changes)
+		response.Changes = apiDifferences(changes)
 	}
-	writeJSON(w, status, answer)
+	writeJSON(w, status, response)
 }
 
 func apiDifferences(changes []catalogue.Change) []api.Difference {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -45,8 +45,8 @@
 func (f *fleet) InForce(_ context.Context, number uint64) (confirmed, missing []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for name, at := range f.confirmed {
-		if at >= number {
+	for name, current := range f.confirmed {
+		if current >= number {
 			confirmed = append(confirmed, name)
 		} else {
 			missing = append(missing, name)
@@ -119,9 +119,9 @@
 	s := newSetup(t)
 	first := uint64(0)
 	request := api.ApplyRequest{Catalogue: sampleCatalogue(), Expected: &first, Operation: "op"}
-	answer := must(s.client.Apply(ctx, request))(t)
-	if got, want := answer.Revision, uint64(1); got != want || len(answer.Changes) != 2 || !answer.Accepted {
-		t.Errorf("apply: got %+v, want two changes at revision %d", answer, want)
+	applied := must(s.client.Apply(ctx, request))(t)
+	if got, want := applied.Revision, uint64(1); got != want || len(applied.Changes) != 2 || !applied.Accepted {
+		t.Errorf("apply: got %+v, want two changes at revision %d", applied, want)
 	}
 	if repeated := must(s.client.Apply(ctx, request))(t); repeated.Revision != 1 || !repeated.Unchanged {
 		t.Errorf("repeat: got %+v, want revision 1 unchanged", repeated)
@@ -228,8 +228,8 @@
 	ctx := context.Background()
 	s := newSetup(t)
 	s.store.SetFaults(table.Faults{LoseAnswers: true})
-	answer := must(s.client.Apply(ctx, api.ApplyRequest{Catalogue: sampleCatalogue()}))(t)
-	if got, want := must(revision.Head(ctx, s.store))(t), answer.Revision; got != want || got != 1 {
+	applied := must(s.client.Apply(ctx, api.ApplyRequest{Catalogue: sampleCatalogue()}))(t)
+	if got, want := must(revision.Head(ctx, s.store))(t), applied.Revision; got != want || got != 1 {
 		t.Errorf("got head %d, answer %d, want 1", got, want)
 	}
 }
@@ -261,15 +261,15 @@
 			if tc.key != "" {
 				request.Header.Set("Authorization", "Bearer "+tc.key)
 			}
-			answer := must(http.DefaultClient.Do(request))(t)
-			defer answer.Body.Close()
-			content := must(io.ReadAll(answer.Body))(t)
+			response := must(http.DefaultClient.Do(request))(t)
+			defer response.Body.Close()
+			content := must(io.ReadAll(response.Body))(t)
 			var got api.Problem
 			if err := json.Unmarshal(content, &got); err != nil {
 				t.Fatalf("got %q: %v", content, err)
 			}
-			if answer.StatusCode != tc.wantStatus || got.Field != tc.wantField || got.Reason == "" {
-				t.Errorf("got %d, %+v, want %d, field %q", answer.StatusCode, got, tc.wantStatus, tc.wantField)
+			if response.StatusCode != tc.wantStatus || got.Field != tc.wantField || got.Reason == "" {
+				t.Errorf("got %d, %+v, want %d, field %q", response.StatusCode, got, tc.wantStatus, tc.wantField)
 			}
 		})
 	}
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -34,7 +34,7 @@
 }
 
 // awaitInForce waits until the revision is in force in every process, at most for
-// the given time and maxRevisionWait, and returns the last answer.
+// the given time and maxRevisionWait, and returns the last status.
 func (h *Handler) awaitInForce(r *http.Request, number uint64, wait time.Duration) api.RevisionResponse {
 	ctx := r.Context()
 	deadline := time.NewTimer(min(wait, maxRevisionWait))
@@ -42,21 +42,21 @@
 	ticker := time.NewTicker(confirmationInterval)
 	defer ticker.Stop()
 	for {
-		answer := h.revisionAnswer(r, number)
-		if answer.InForce || wait == 0 {
-			return answer
+		response := h.revisionResponse(r, number)
+		if response.InForce || wait == 0 {
+			return response
 		}
 		select {
 		case <-ctx.Done():
-			return answer
+			return response
 		case <-deadline.C:
-			return h.revisionAnswer(r, number)
+			return h.revisionResponse(r, number)
 		case <-ticker.C:
 		}
 	}
 }
 
-func (h *Handler) revisionAnswer(r *http.Request, number uint64) api.RevisionResponse {
+func (h *Handler) revisionResponse(r *http.Request, number uint64) api.RevisionResponse {
 	confirmed, missing := h.config.Fleet.InForce(r.Context(), number)
 	return api.RevisionResponse{
 		Revision:  number,
--- a/internal/peer/claims.go
+++ b/internal/peer/claims.go
@@ -108,7 +108,7 @@
 	return record, errors.Wrap(err, "decode claim record")
 }
 
-// ResultMessage encodes the recorded answer of a run, which may be nil.
+// ResultMessage encodes the recorded response of a run, which may be nil.
 func ResultMessage(r *claim.Result) *peerpb.Result {
 	if r == nil {
 		return nil
@@ -120,7 +120,7 @@
 	return m
 }
 
-// Result decodes the recorded answer of a run, which may be nil.
+// Result decodes the recorded response of a run, which may be nil.
 func Result(m *peerpb.Result) *claim.Result {
 	if m == nil {
 		return nil
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -60,8 +60,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back, err := peer.Charges(messages); err != nil || len(back) != 1 || back[0].Charge.Run != entries[0].Charge.Run {
-			t.Errorf("got %+v, %v, want %+v", back, err, entries)
+		if decoded, err := peer.Charges(messages); err != nil || len(decoded) != 1 || decoded[0].Charge.Run != entries[0].Charge.Run {
+			t.Errorf("got %+v, %v, want %+v", decoded, err, entries)
 		}
 	})
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -6,7 +6,7 @@
 //
 //	dialer := peer.New(peer.Config{Secret: secret, TLS: files.Client(), Timeout: time.Second})
 //	client := dialer.Dial(member.Address)
-//	answer, err := client.Exchange(ctx, state)
+//	reply, err := client.Exchange(ctx, state)
 //
 //	server.Handler = peer.Handler(secret, service)
 package peer
--- a/internal/port/port_test.go
+++ b/internal/port/port_test.go
@@ -38,13 +38,13 @@
 	})})
 	body := make(chan string, 1)
 	go func() {
-		answer, err := http.Get("http://" + p.Address().String())
+		response, err := http.Get("http://" + p.Address().String())
 		if err != nil {
 			body <- err.Error()
 			return
 		}
-		defer answer.Body.Close()
-		text, _ := io.ReadAll(answer.Body)
+		defer response.Body.Close()
+		text, _ := io.ReadAll(response.Body)
 		body <- string(text)
 	}()
 	<-entered
@@ -64,12 +64,12 @@
 func TestDrainAsksTheCallerToClose(t *testing.T) {
 	p := open(t, port.Config{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})})
 	for _, want := range []bool{false, true} {
-		answer, err := http.Get("http://" + p.Address().String())
+		response, err := http.Get("http://" + p.Address().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = answer.Body.Close()
-		if got := answer.Close; got != want {
+		_ = response.Body.Close()
+		if got := response.Close; got != want {
 			t.Errorf("connection closes: got %v, want %v", got, want)
 		}
 		p.Drain()
