--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -96,14 +96,14 @@
 }
 
 func TestServerAcceptsOnlySignedPeers(t *testing.T) {
-	ours, stranger := newAuthority(t), newAuthority(t)
-	server := load(t, ours.write(t, t.TempDir()))
+	trusted, untrusted := newAuthority(t), newAuthority(t)
+	server := load(t, trusted.write(t, t.TempDir()))
 	tests := map[string]struct {
 		client *tls.Config
 		want   bool
 	}{
-		"signed certificate":  {client: load(t, ours.write(t, t.TempDir())).Client(), want: true},
-		"other authority":     {client: load(t, stranger.write(t, t.TempDir())).Client()},
+		"signed certificate":  {client: load(t, trusted.write(t, t.TempDir())).Client(), want: true},
+		"other authority":     {client: load(t, untrusted.write(t, t.TempDir())).Client()},
 		"without certificate": {client: &tls.Config{InsecureSkipVerify: true}},
 	}
 	for name, tc := range tests {
@@ -126,12 +126,12 @@
 
 func TestReload(t *testing.T) {
 	dir := t.TempDir()
-	ours := newAuthority(t)
-	files := load(t, ours.write(t, dir))
+	ca := newAuthority(t)
+	files := load(t, ca.write(t, dir))
 	if got, err := files.Reload(); got || err != nil {
 		t.Errorf("unchanged files: got %v, %v, want false", got, err)
 	}
-	config := ours.write(t, dir)
+	config := ca.write(t, dir)
 	if got, err := files.Reload(); !got || err != nil {
 		t.Errorf("replaced files: got %v, %v, want true", got, err)
 	}
--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -42,7 +42,7 @@
 func (m *Manager) planPermits(ctx context.Context, planner *limit.Planner) error {
 	rows, err := m.node.Store().Scan(ctx, limit.KeyPrefix)
 	if err != nil {
-		return errors.Wrap(err, "read the limits")
+		return errors.Wrap(err, "read the teams' permit allocations")
 	}
 	byKey := make(map[string]table.Row, len(rows))
 	for _, row := range rows {
@@ -88,7 +88,7 @@
 func (m *Manager) commitAllocation(ctx context.Context, next limit.Allocation, row table.Row) error {
 	value, err := json.Marshal(next)
 	if err != nil {
-		return errors.Wrap(err, "encode limit row")
+		return errors.Wrap(err, "encode permit allocation")
 	}
 	key := limit.Key(next.Team)
 	err = m.node.Store().Commit(ctx, table.Txn{
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -36,7 +36,7 @@
 )
 
 const (
-	// limitInterval is the time between two reads of the limits' rows.
+	// limitInterval is the time between two reads of the teams' permit allocations.
 	limitInterval = 300 * time.Millisecond
 	// rosterInterval is the time between two checks for departed members.
 	rosterInterval = time.Second
--- a/internal/manager/shards.go
+++ b/internal/manager/shards.go
@@ -242,15 +242,15 @@
 		bounds[queue.TeamQueue] = queue.Running
 		waiting[queue.TeamQueue] += queue.Waiting
 	}
-	spare := permits - runningTasks(teamQueues)
+	remaining := permits - runningTasks(teamQueues)
 	keys := slices.SortedFunc(maps.Keys(bounds), func(a, b task.TeamQueue) int { return strings.Compare(a.Queue, b.Queue) })
-	for granted := true; spare > 0 && granted; {
+	for granted := true; remaining > 0 && granted; {
 		granted = false
 		for _, key := range keys {
-			if spare > 0 && waiting[key] > 0 {
+			if remaining > 0 && waiting[key] > 0 {
 				waiting[key]--
 				bounds[key]++
-				spare--
+				remaining--
 				granted = true
 			}
 		}
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -122,7 +122,7 @@
 		Configuration:  peer.StatementMessage(n.configuration.Statement(now, digest), view.State.Revision),
 		Manager:        n.config.Self.Role == roster.RoleManager,
 		ManagersDigest: n.configuration.Digest(),
-		Confirmed:      n.drainConfirmations(to),
+		Confirmed:      n.popConfirmations(to),
 	}
 	for _, status := range n.ledger.Statuses() {
 		state.Permits = append(state.Permits, peer.PermitsMessage(status))
@@ -207,9 +207,9 @@
 	view.confirmations = append(view.confirmations, transfer)
 }
 
-// drainConfirmations returns the queued confirmations for a peer. If they are
+// popConfirmations removes and returns the queued confirmations for a peer. If they are
 // lost, the peer repeats the transfers, and they are confirmed again.
-func (n *Node) drainConfirmations(to roster.Identity) []*peerpb.Transfer {
+func (n *Node) popConfirmations(to roster.Identity) []*peerpb.Transfer {
 	view := n.view(to)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -90,11 +90,11 @@
 	return nil
 }
 
-// pollLimits reads the teams' permits.
+// pollLimits reads the teams' permit allocations.
 func (n *Node) pollLimits(ctx context.Context) error {
 	rows, err := n.config.Store.Scan(ctx, limit.KeyPrefix)
 	if err != nil {
-		return errors.Wrap(err, "read the limits")
+		return errors.Wrap(err, "read the teams' permit allocations")
 	}
 	for _, row := range rows {
 		allocation, err := limit.ParseAllocation(row.Value)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -73,16 +73,16 @@
 	return nil, nil
 }
 
-// setup is a client of two managers that share a table.
-type setup struct {
+// fixture is a client of two managers that share a table.
+type fixture struct {
 	store  *table.Memory
 	fleet  *fleet
 	client *client.Client
 	url    string
 }
 
-func newSetup(t *testing.T) *setup {
-	s := &setup{store: table.NewMemory(), fleet: &fleet{confirmed: map[string]uint64{"entry-1": 0, "entry-2": 0}}}
+func newFixture(t *testing.T) *fixture {
+	s := &fixture{store: table.NewMemory(), fleet: &fleet{confirmed: map[string]uint64{"entry-1": 0, "entry-2": 0}}}
 	config := client.Config{Key: operatorKey, Attempts: 4}
 	for range 2 {
 		committer := revision.NewCommitter(revision.CommitterConfig{
@@ -116,7 +116,7 @@
 
 func TestChangesAndKeys(t *testing.T) {
 	ctx := context.Background()
-	s := newSetup(t)
+	s := newFixture(t)
 	first := uint64(0)
 	request := api.ApplyRequest{Catalogue: sampleCatalogue(), Expected: &first, Operation: "op"}
 	applied := must(s.client.Apply(ctx, request))(t)
@@ -157,7 +157,7 @@
 
 func TestRemovedTeamsKeysStayWithdrawn(t *testing.T) {
 	ctx := context.Background()
-	s := newSetup(t)
+	s := newFixture(t)
 	must(s.client.Apply(ctx, api.ApplyRequest{Catalogue: sampleCatalogue()}))(t)
 	key, _, err := s.client.IssueKey(ctx, "acme")
 	if err != nil {
@@ -210,7 +210,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newSetup(t)
+			s := newFixture(t)
 			s.store.SetFaults(tc.faults)
 			var got *api.Problem
 			if err := tc.call(s.client); !errors.As(err, &got) {
@@ -226,7 +226,7 @@
 // If the answers to all commits are lost, each change still takes effect once.
 func TestLostCommitAnswers(t *testing.T) {
 	ctx := context.Background()
-	s := newSetup(t)
+	s := newFixture(t)
 	s.store.SetFaults(table.Faults{LoseAnswers: true})
 	applied := must(s.client.Apply(ctx, api.ApplyRequest{Catalogue: sampleCatalogue()}))(t)
 	if got, want := must(revision.Head(ctx, s.store))(t), applied.Revision; got != want || got != 1 {
@@ -235,7 +235,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	s := newSetup(t)
+	s := newFixture(t)
 	huge := `{"operation-id":"` + strings.Repeat("x", 17<<20) + `"}`
 	tests := map[string]struct {
 		method, path, key, body string
@@ -276,18 +276,18 @@
 }
 
 func TestClientTriesTheNextManager(t *testing.T) {
-	s := newSetup(t)
-	dead := httptest.NewServer(nil)
-	address := netip.MustParseAddrPort(dead.Listener.Addr().String())
-	dead.Close()
-	live := netip.MustParseAddrPort(strings.TrimPrefix(s.url, "http://"))
+	s := newFixture(t)
+	stopped := httptest.NewServer(nil)
+	stoppedAddress := netip.MustParseAddrPort(stopped.Listener.Addr().String())
+	stopped.Close()
+	runningAddress := netip.MustParseAddrPort(strings.TrimPrefix(s.url, "http://"))
 	tests := map[string]struct {
 		managers []netip.AddrPort
 		want     error
 	}{
-		"first is dead":  {[]netip.AddrPort{address, live}, nil},
-		"none is alive":  {[]netip.AddrPort{address}, client.ErrUnavailable},
-		"none was given": {nil, client.ErrUnavailable},
+		"first is stopped":   {[]netip.AddrPort{stoppedAddress, runningAddress}, nil},
+		"all are stopped":    {[]netip.AddrPort{stoppedAddress}, client.ErrUnavailable},
+		"none is configured": {nil, client.ErrUnavailable},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
