--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -207,8 +207,8 @@
 	view.confirmations = append(view.confirmations, transfer)
 }
 
-// popConfirmations removes and returns the queued confirmations for a peer. If they are
-// lost, the peer repeats the transfers, and they are confirmed again.
+// popConfirmations removes and returns the queued confirmations for a peer. If they
+// are lost, the peer repeats the transfers, and they are confirmed again.
 func (n *Node) popConfirmations(to roster.Identity) []*peerpb.Transfer {
 	view := n.view(to)
 	n.mu.Lock()
