--- a/internal/task/commit.go
+++ b/internal/task/commit.go
@@ -226,19 +226,19 @@
 		c.drop(it)
 		return
 	}
-	wanted := it.pending
-	ours := wanted != nil && wanted.Stamp == record.Stamp
+	pending := it.pending
+	ours := pending != nil && pending.Stamp == record.Stamp
 	if it.version == unknownVersion && record.Stamp == it.record.Stamp {
 		it.version = row.Version
 		return
 	}
-	first := it.version == table.Absent
+	isNew := it.version == table.Absent
 	it.remove = false
 	c.applyRecord(now, it, record, row.Version)
 	switch {
-	case first && !ours && wanted.digest() != record.digest():
+	case isNew && !ours && pending.digest() != record.digest():
 		c.reply(it, Refused, ReasonOtherSpec, 0)
-	case first && !ours:
+	case isNew && !ours:
 		c.reply(it, Exists, "", 0)
 	default:
 		c.replyPersisted(it)
--- a/internal/task/controller_test.go
+++ b/internal/task/controller_test.go
@@ -48,7 +48,7 @@
 		wantReason string
 		wantRetry  bool
 	}{
-		"taken":          {spec: spec("a", place.Normal, 1), want: task.Accepted},
+		"accepted":       {spec: spec("a", place.Normal, 1), want: task.Accepted},
 		"fits no worker": {spec: spec("a", place.Normal, 5), want: task.Refused, wantReason: task.ReasonFitsNoWorker},
 		"large body":     {spec: large, want: task.Refused, wantReason: task.ReasonBodyTooLarge},
 		"repeated": {spec: spec("a", place.Normal, 1), want: task.Exists, prepare: func(sim *simulation) {
--- a/internal/task/runner/bench_test.go
+++ b/internal/task/runner/bench_test.go
@@ -18,19 +18,19 @@
 // its start on a pool that is full of batch tasks, over loopback and for several
 // table latencies.
 func BenchmarkUrgentStart(b *testing.B) {
-	for _, slow := range []string{"5ms", "50ms", "300ms"} {
-		b.Run("table-"+slow, func(b *testing.B) { benchmarkUrgentStart(b, slow) })
+	for _, latency := range []string{"5ms", "50ms", "300ms"} {
+		b.Run("table-"+latency, func(b *testing.B) { benchmarkUrgentStart(b, latency) })
 	}
 }
 
-func benchmarkUrgentStart(b *testing.B, slow string) {
+func benchmarkUrgentStart(b *testing.B, latency string) {
 	const workers = 16
 	c := newCluster(b, workers, 1)
 	for i := range workers {
 		c.submitWithClass(fmt.Sprint("batch-", i), place.Batch, time.Hour)
 	}
 	c.awaitRunning(workers)
-	c.setFaults(c.platform, "/faults", map[string]any{"slow": slow})
+	c.setFaults(c.platform, "/faults", map[string]any{"slow": latency})
 	submitted := map[string]time.Time{}
 	for b.Loop() {
 		id := fmt.Sprint("urgent-", len(submitted))
--- a/internal/task/runner/calls.go
+++ b/internal/task/runner/calls.go
@@ -14,55 +14,55 @@
 )
 
 // call sends a call to its worker and passes the answer to the controller.
-func (r *term) call(ctx context.Context, call task.Call) {
+func (t *term) call(ctx context.Context, call task.Call) {
 	answer := task.Answer{Kind: task.AnswerNone}
-	if address, known := r.address(call.Worker); known {
-		status, err := r.sendOrder(ctx, address, call)
+	if address, known := t.address(call.Worker); known {
+		status, err := t.sendOrder(ctx, address, call)
 		answer = newAnswer(status, err)
 	}
-	r.update(func(c *task.Controller, now time.Time) { c.HandleCallResult(now, call, answer) })
+	t.update(func(c *task.Controller, now time.Time) { c.HandleCallResult(now, call, answer) })
 }
 
 // address returns the worker's address as last listed.
-func (r *term) address(name string) (netip.AddrPort, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	address, known := r.addresses[name]
+func (t *term) address(name string) (netip.AddrPort, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	address, known := t.addresses[name]
 	return address, known
 }
 
 // sendOrder sends the call's order to the worker.
-func (r *term) sendOrder(ctx context.Context, address netip.AddrPort, call task.Call) (worker.Status, error) {
-	order := worker.Order{Shard: r.cfg.Shard, Epoch: call.Epoch, Rate: call.Rate}
+func (t *term) sendOrder(ctx context.Context, address netip.AddrPort, call task.Call) (worker.Status, error) {
+	order := worker.Order{Shard: t.cfg.Shard, Epoch: call.Epoch, Rate: call.Rate}
 	switch call.Order {
 	case task.OrderStop:
-		return r.cfg.Workers.Stop(ctx, address, call.StartID, order)
+		return t.cfg.Workers.Stop(ctx, address, call.StartID, order)
 	case task.OrderCheckpoint:
-		return r.cfg.Workers.Checkpoint(ctx, address, call.StartID, order)
+		return t.cfg.Workers.Checkpoint(ctx, address, call.StartID, order)
 	case task.OrderThrottle:
-		return r.cfg.Workers.Throttle(ctx, address, call.StartID, order)
+		return t.cfg.Workers.Throttle(ctx, address, call.StartID, order)
 	default:
-		return r.start(ctx, address, call)
+		return t.start(ctx, address, call)
 	}
 }
 
 // start starts the task, after fetching a large body from the object store.
-func (r *term) start(ctx context.Context, address netip.AddrPort, call task.Call) (worker.Status, error) {
+func (t *term) start(ctx context.Context, address netip.AddrPort, call task.Call) (worker.Status, error) {
 	record := call.Record
 	body := record.Body
 	if record.BodyObject != "" {
-		fetched, err := r.cfg.Objects.GetObject(ctx, record.BodyObject)
+		fetched, err := t.cfg.Objects.GetObject(ctx, record.BodyObject)
 		if err != nil {
 			return worker.Status{}, err
 		}
 		body = fetched
 	}
-	return r.cfg.Workers.Start(ctx, address, worker.Start{
+	return t.cfg.Workers.Start(ctx, address, worker.Start{
 		ID:          call.StartID,
 		Task:        record.Name(),
 		Queue:       record.Queue,
 		Team:        record.Team,
-		Shard:       r.cfg.Shard,
+		Shard:       t.cfg.Shard,
 		Incarnation: record.Attempt.Incarnation,
 		Lease:       duration.New(call.Lease),
 		Epoch:       call.Epoch,
@@ -74,24 +74,24 @@
 }
 
 // poll renews the leases at a worker and passes the result to the controller.
-func (r *term) poll(ctx context.Context, poll task.Poll) {
+func (t *term) poll(ctx context.Context, poll task.Poll) {
 	result := task.PollResult{Kind: task.AnswerNone}
-	if address, known := r.address(poll.Worker); known {
-		renewed, err := r.cfg.Workers.RenewAll(ctx, address, worker.Renewal{
-			Shard: r.cfg.Shard, Epoch: poll.Epoch, Lease: duration.New(poll.Lease), IDs: poll.StartIDs,
+	if address, known := t.address(poll.Worker); known {
+		report, err := t.cfg.Workers.RenewAll(ctx, address, worker.Renewal{
+			Shard: t.cfg.Shard, Epoch: poll.Epoch, Lease: duration.New(poll.Lease), IDs: poll.StartIDs,
 		})
-		result = newPollResult(renewed, err)
+		result = newPollResult(report, err)
 	}
-	r.update(func(c *task.Controller, now time.Time) { c.HandlePollResult(now, poll, result) })
+	t.update(func(c *task.Controller, now time.Time) { c.HandlePollResult(now, poll, result) })
 }
 
 // newPollResult converts the response to a lease renewal.
-func newPollResult(renewed worker.RenewalReport, err error) task.PollResult {
+func newPollResult(report worker.RenewalReport, err error) task.PollResult {
 	if err != nil {
 		return task.PollResult{Kind: newAnswer(worker.Status{}, err).Kind}
 	}
-	result := task.PollResult{Kind: task.AnswerRunning, Incarnation: renewed.Incarnation}
-	for _, status := range renewed.Tasks {
+	result := task.PollResult{Kind: task.AnswerRunning, Incarnation: report.Incarnation}
+	for _, status := range report.Tasks {
 		result.Answers = append(result.Answers, newAnswer(status, nil))
 	}
 	return result
--- a/internal/task/runner/hosts.go
+++ b/internal/task/runner/hosts.go
@@ -22,9 +22,9 @@
 }
 
 // watchHosts notifies the controller of workers that join, leave or are gone.
-func (r *term) watchHosts(ctx context.Context) {
+func (t *term) watchHosts(ctx context.Context) {
 	w := &hostWatcher{
-		term:         r,
+		term:         t,
 		lastReport:   make(map[string]time.Time),
 		missingSince: make(map[string]time.Time),
 		leaving:      make(map[string]bool),
@@ -98,7 +98,7 @@
 				continue
 			}
 			if now.Sub(since) > w.term.cfg.ListLag {
-				c.Gone(now, name)
+				c.MarkGone(now, name)
 				delete(w.lastReport, name)
 			}
 		}
@@ -116,28 +116,28 @@
 }
 
 // setAddress records a worker's address.
-func (r *term) setAddress(name string, address netip.AddrPort) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.addresses[name] = address
+func (t *term) setAddress(name string, address netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addresses[name] = address
 }
 
 // silent reports whether the worker has stopped answering or has not joined yet.
-func (r *term) silent(name string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.controller.Silent(name)
+func (t *term) silent(name string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.controller.Silent(name)
 }
 
 // fetchReport requests a report from a worker and joins the worker to the
 // controller.
-func (r *term) fetchReport(ctx context.Context, host platform.Host, address netip.AddrPort) {
-	report, err := r.cfg.Workers.Report(ctx, address)
+func (t *term) fetchReport(ctx context.Context, host platform.Host, address netip.AddrPort) {
+	report, err := t.cfg.Workers.Report(ctx, address)
 	if err != nil {
 		return
 	}
-	r.update(func(c *task.Controller, now time.Time) {
-		if r.leaving[host.Name] {
+	t.update(func(c *task.Controller, now time.Time) {
+		if t.leaving[host.Name] {
 			return // It began to leave while the report was being fetched.
 		}
 		c.Join(now, place.Worker{
--- a/internal/task/runner/runner_test.go
+++ b/internal/task/runner/runner_test.go
@@ -32,8 +32,8 @@
 const (
 	pool             = "pool-a"
 	heartbeatTimeout = 400 * time.Millisecond
-	// testTime is the timeout of a test. No check depends on the time used.
-	testTime = 30 * time.Second
+	// testTimeout bounds the duration of a test. No check depends on its value.
+	testTimeout = 30 * time.Second
 )
 
 // cluster is a fake platform with fake workers and the runners of one shard.
@@ -47,7 +47,7 @@
 }
 
 func newCluster(t testing.TB, workers, runners int) *cluster {
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	c := &cluster{t: t, ctx: ctx, platform: httptest.NewServer(fakeplatform.New(fakeplatform.Config{}).Handler())}
 	t.Cleanup(c.platform.Close)
--- a/internal/task/runner/term.go
+++ b/internal/task/runner/term.go
@@ -65,17 +65,17 @@
 
 // update changes the controller under the lock and wakes the loop to execute the
 // resulting actions.
-func (r *term) update(change func(*task.Controller, time.Time)) {
-	r.mu.Lock()
-	change(r.controller, time.Now())
-	r.mu.Unlock()
-	r.wakeLoop()
+func (t *term) update(change func(*task.Controller, time.Time)) {
+	t.mu.Lock()
+	change(t.controller, time.Now())
+	t.mu.Unlock()
+	t.wakeLoop()
 }
 
 // setLeaving replaces the set of workers that must not receive new tasks.
-func (r *term) setLeaving(leaving map[string]bool) {
-	r.update(func(c *task.Controller, now time.Time) {
-		r.leaving = leaving
+func (t *term) setLeaving(leaving map[string]bool) {
+	t.update(func(c *task.Controller, now time.Time) {
+		t.leaving = leaving
 		for _, name := range slices.Sorted(maps.Keys(leaving)) {
 			c.Leave(now, name, true)
 		}
@@ -83,44 +83,44 @@
 }
 
 // drained reports whether the worker is leaving and has no active attempts.
-func (r *term) drained(worker string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leaving[worker] && r.controller.ActiveAttempts(worker) == 0
+func (t *term) drained(worker string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leaving[worker] && t.controller.ActiveAttempts(worker) == 0
 }
 
 // isLeaving reports whether the worker must not receive new tasks.
-func (r *term) isLeaving(worker string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.leaving[worker]
+func (t *term) isLeaving(worker string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leaving[worker]
 }
 
 // dump returns a snapshot of the controller and the placer.
-func (r *term) dump() Dump {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return Dump{Dump: r.controller.Dump(), Workers: r.placer.Dump()}
+func (t *term) dump() Dump {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return Dump{Dump: t.controller.Dump(), Workers: t.placer.Dump()}
 }
 
 // wakeLoop wakes the loop of run. It does not block.
-func (r *term) wakeLoop() {
+func (t *term) wakeLoop() {
 	select {
-	case r.wake <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run executes the controller's actions until the controller is superseded or ctx
 // is cancelled.
-func (r *term) run(ctx context.Context) {
-	ticker := time.NewTicker(r.cfg.StepInterval)
+func (t *term) run(ctx context.Context) {
+	ticker := time.NewTicker(t.cfg.StepInterval)
 	defer ticker.Stop()
 	var group sync.WaitGroup
 	defer group.Wait()
-	defer r.answerOpenRequests()
+	defer t.answerOpenRequests()
 	for {
-		superseded := r.step(ctx, &group)
+		superseded := t.step(ctx, &group)
 		if superseded {
 			return
 		}
@@ -128,55 +128,55 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-r.wake:
+		case <-t.wake:
 		}
 	}
 }
 
 // step steps the controller once and starts executing its actions.
-func (r *term) step(ctx context.Context, group *sync.WaitGroup) (superseded bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, action := range r.controller.Step(time.Now()) {
+func (t *term) step(ctx context.Context, group *sync.WaitGroup) (superseded bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, action := range t.controller.Step(time.Now()) {
 		switch action := action.(type) {
 		case task.Reply:
-			r.deliverReply(action)
+			t.deliverReply(action)
 		case task.Commit:
-			group.Go(func() { r.commit(ctx, action) })
+			group.Go(func() { t.commit(ctx, action) })
 		case task.Read:
-			group.Go(func() { r.read(ctx, action) })
+			group.Go(func() { t.read(ctx, action) })
 		default:
-			r.pendingCalls = append(r.pendingCalls, action)
+			t.pendingCalls = append(t.pendingCalls, action)
 		}
 	}
-	for len(r.pendingCalls) > 0 && r.activeCalls < maxConcurrentCalls {
-		action := r.pendingCalls[0]
-		r.pendingCalls = r.pendingCalls[1:]
-		r.activeCalls++
-		group.Go(func() { r.execute(ctx, action) })
+	for len(t.pendingCalls) > 0 && t.activeCalls < maxConcurrentCalls {
+		action := t.pendingCalls[0]
+		t.pendingCalls = t.pendingCalls[1:]
+		t.activeCalls++
+		group.Go(func() { t.execute(ctx, action) })
 	}
-	return r.controller.Superseded()
+	return t.controller.Superseded()
 }
 
 // execute executes one call to a worker or to the object store.
-func (r *term) execute(ctx context.Context, action task.Action) {
-	defer r.update(func(*task.Controller, time.Time) { r.activeCalls-- })
+func (t *term) execute(ctx context.Context, action task.Action) {
+	defer t.update(func(*task.Controller, time.Time) { t.activeCalls-- })
 	switch action := action.(type) {
 	case task.Call:
-		r.call(ctx, action)
+		t.call(ctx, action)
 	case task.Poll:
-		r.poll(ctx, action)
+		t.poll(ctx, action)
 	case task.Store:
-		err := r.cfg.Objects.PutObject(ctx, action.Name, action.Data)
-		r.update(func(c *task.Controller, now time.Time) { c.HandleStoreResult(now, action, err == nil) })
+		err := t.cfg.Objects.PutObject(ctx, action.Name, action.Data)
+		t.update(func(c *task.Controller, now time.Time) { c.HandleStoreResult(now, action, err == nil) })
 	}
 }
 
 // commit commits a transaction and passes the result to the controller.
-func (r *term) commit(ctx context.Context, action task.Commit) {
-	err := r.cfg.Store.Commit(ctx, withCharges(action.Txn))
+func (t *term) commit(ctx context.Context, action task.Commit) {
+	err := t.cfg.Store.Commit(ctx, withCharges(action.Txn))
 	result := commitResult(err)
-	r.update(func(c *task.Controller, now time.Time) { c.HandleCommitResult(now, action.Number, result) })
+	t.update(func(c *task.Controller, now time.Time) { c.HandleCommitResult(now, action.Number, result) })
 }
 
 // commitResult converts an error of table.Store.
@@ -194,52 +194,52 @@
 }
 
 // read reads rows and passes them to the controller.
-func (r *term) read(ctx context.Context, action task.Read) {
-	rows, err := r.cfg.Store.Get(ctx, action.Keys...)
-	r.update(func(c *task.Controller, now time.Time) { c.HandleReadResult(now, action.Number, rows, err == nil) })
+func (t *term) read(ctx context.Context, action task.Read) {
+	rows, err := t.cfg.Store.Get(ctx, action.Keys...)
+	t.update(func(c *task.Controller, now time.Time) { c.HandleReadResult(now, action.Number, rows, err == nil) })
 }
 
 // request sends a request to the controller and waits for its reply.
-func (r *term) request(ctx context.Context, send func(*task.Controller, time.Time, uint64)) (task.Reply, error) {
+func (t *term) request(ctx context.Context, send func(*task.Controller, time.Time, uint64)) (task.Reply, error) {
 	reply := make(chan task.Reply, 1)
-	r.mu.Lock()
-	if r.replies == nil {
-		r.mu.Unlock()
-		return task.Reply{}, errors.Wrapf(ErrNotHolder, "shard %q", r.cfg.Shard)
+	t.mu.Lock()
+	if t.replies == nil {
+		t.mu.Unlock()
+		return task.Reply{}, errors.Wrapf(ErrNotHolder, "shard %q", t.cfg.Shard)
 	}
-	r.lastRequest++
-	number := r.lastRequest
-	r.replies[number] = reply
-	send(r.controller, time.Now(), number)
-	r.mu.Unlock()
-	r.wakeLoop()
+	t.lastRequest++
+	number := t.lastRequest
+	t.replies[number] = reply
+	send(t.controller, time.Now(), number)
+	t.mu.Unlock()
+	t.wakeLoop()
 	select {
 	case answer := <-reply:
 		return answer, nil
 	case <-ctx.Done():
-		r.mu.Lock()
-		delete(r.replies, number)
-		r.mu.Unlock()
+		t.mu.Lock()
+		delete(t.replies, number)
+		t.mu.Unlock()
 		return task.Reply{}, ctx.Err()
 	}
 }
 
 // deliverReply passes a reply to its waiting request. The caller holds the lock.
-func (r *term) deliverReply(reply task.Reply) {
-	waiter, ok := r.replies[reply.Request]
+func (t *term) deliverReply(reply task.Reply) {
+	waiter, ok := t.replies[reply.Request]
 	if !ok {
 		return
 	}
-	delete(r.replies, reply.Request)
+	delete(t.replies, reply.Request)
 	waiter <- reply
 }
 
 // answerOpenRequests answers the open requests at the end of the term.
-func (r *term) answerOpenRequests() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for number := range r.replies {
-		r.deliverReply(task.Reply{Request: number, Outcome: task.Unknown, Reason: task.ReasonManagerMoved})
+func (t *term) answerOpenRequests() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for number := range t.replies {
+		t.deliverReply(task.Reply{Request: number, Outcome: task.Unknown, Reason: task.ReasonManagerMoved})
 	}
-	r.replies = nil
+	t.replies = nil
 }
--- a/internal/task/sim_worker_test.go
+++ b/internal/task/sim_worker_test.go
@@ -149,10 +149,10 @@
 	return sim.specs[i]
 }
 
-// finish ends a run at the worker with success or failure.
-func (sim *simulation) finish(w *simWorker, id string, good bool) {
+// finish ends a run at the worker. Runs of poison tasks fail even if succeeds is set.
+func (sim *simulation) finish(w *simWorker, id string, succeeds bool) {
 	s := w.starts[id]
-	if good && !strings.HasPrefix(s.task, "poison") {
+	if succeeds && !strings.HasPrefix(s.task, "poison") {
 		s.state = task.AnswerDone
 		sim.succeeded[s.task]++
 		return
--- a/internal/task/simulation_test.go
+++ b/internal/task/simulation_test.go
@@ -128,7 +128,7 @@
 	for _, w := range sim.workers {
 		switch {
 		case w.gone, sim.mutant == mutantSilentIsGone && w.silent:
-			m.controller.Gone(sim.now, w.name)
+			m.controller.MarkGone(sim.now, w.name)
 		case w.alive && !w.silent:
 			m.controller.Join(sim.now, place.Worker{
 				Name: w.name, Rack: w.name, Size: place.Size{CPUs: 4, Memory: 4 << 30},
--- a/internal/task/submit.go
+++ b/internal/task/submit.go
@@ -73,9 +73,9 @@
 // retryAfter estimates when a full team queue will have space again: each running
 // task makes space for one when it ends.
 func (c *Controller) retryAfter(key TeamQueue, spec Spec, open int) time.Duration {
-	each := c.cfg.Placer.ExpectedRunTime(spec.Queue, spec.RunTime.Duration)
+	runTime := c.cfg.Placer.ExpectedRunTime(spec.Queue, spec.RunTime.Duration)
 	excess := 1 + open - c.limit(key).MaxOpen
-	wait := each * time.Duration(excess) / time.Duration(max(1, c.running[key]))
+	wait := runTime * time.Duration(excess) / time.Duration(max(1, c.running[key]))
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
--- a/internal/task/worker.go
+++ b/internal/task/worker.go
@@ -154,11 +154,11 @@
 	}
 }
 
-// Gone marks a worker as gone. It must be called only if the host has been absent
+// MarkGone marks a worker as gone. It must be called only if the host has been absent
 // from the platform's list for longer than the list's maximum lag, so that none
 // of the worker's processes will answer again. A worker that merely doesn't
-// answer is not gone.
-func (c *Controller) Gone(now time.Time, worker string) {
+// answer is silent, not gone.
+func (c *Controller) MarkGone(now time.Time, worker string) {
 	c.cfg.Placer.Remove(worker)
 	state, ok := c.workers[worker]
 	if !ok {
