--- a/internal/claim/at_most_once_test.go
+++ b/internal/claim/at_most_once_test.go
@@ -222,8 +222,8 @@
 }
 
 // runSimulation runs random steps and returns the violation that it found, if any.
-func runSimulation(pick chooser, steps int, r mutations, totals map[string]int) (found violation) {
-	sim := newSimulation(pick, r)
+func runSimulation(pick chooser, steps int, broken mutations, totals map[string]int) (found violation) {
+	sim := newSimulation(pick, broken)
 	defer func() {
 		for kind, n := range sim.counts {
 			totals[kind] += n
@@ -309,7 +309,7 @@
 		steps    = 250
 	)
 	tests := map[string]mutations{
-		"claim in one entry's memory":         {localMemory: true},
+		"claim in one process's memory":       {localMemory: true},
 		"claim after dispatch":                {dispatchBeforeClaim: true},
 		"new primary before the former flush": {unflushedMove: true},
 		"restarted process as replica":        {emptyRestart: true},
@@ -317,12 +317,12 @@
 		"dispatch on every grant":             {dispatchEveryGrant: true},
 		"not-run without knowledge":           {unknownAsNotRun: true},
 	}
-	for name, r := range tests {
+	for name, broken := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			totals := make(map[string]int)
 			for seed := range uint64(maxSeeds) {
-				if found := runSimulation(seededChooser(seed), steps, r, totals); found != "" {
+				if found := runSimulation(seededChooser(seed), steps, broken, totals); found != "" {
 					t.Logf("seed %d, %d steps: %s", seed, totals["steps"], found)
 					return
 				}
--- a/internal/claim/batch.go
+++ b/internal/claim/batch.go
@@ -216,7 +216,7 @@
 	return write, record, true
 }
 
-// expired reports whether the record has expired on every entry's clock.
+// expired reports whether the record has expired by the clock of every process.
 func (r *Replica) expired(now time.Time, record Record) bool {
 	return now.After(record.Expires.Add(r.config.MaxClockSkew))
 }
@@ -254,32 +254,32 @@
 }
 
 // HandleTableResult handles the result of a Commit, Get or Scan effect.
-func (r *Replica) HandleTableResult(now time.Time, answer TableResult) []Effect {
-	c, ok := r.openCalls[answer.Call]
+func (r *Replica) HandleTableResult(now time.Time, result TableResult) []Effect {
+	c, ok := r.openCalls[result.Call]
 	if !ok {
 		return r.flush(now)
 	}
-	delete(r.openCalls, answer.Call)
-	if answer.Err == nil || table.IsConflict(answer.Err) {
+	delete(r.openCalls, result.Call)
+	if result.Err == nil || table.IsConflict(result.Err) {
 		r.tableUp = true
 	}
 	switch c.kind {
 	case callRead:
-		r.handleReadResult(now, answer)
+		r.handleReadResult(now, result)
 	case callWrite:
-		r.handleWriteResult(now, answer.Err)
+		r.handleWriteResult(now, result.Err)
 	case callLoad:
-		r.handleLoadResult(now, c, answer)
+		r.handleLoadResult(now, c, result)
 	default:
-		r.handlePollResult(c, answer)
+		r.handlePollResult(c, result)
 	}
 	return r.flush(now)
 }
 
 // handleReadResult continues the batch after its read.
-func (r *Replica) handleReadResult(now time.Time, answer TableResult) {
-	if answer.Err == nil {
-		r.handleRows(now, answer.Rows)
+func (r *Replica) handleReadResult(now time.Time, result TableResult) {
+	if result.Err == nil {
+		r.handleRows(now, result.Rows)
 		return
 	}
 	r.failBatch(now)
--- a/internal/claim/bucket.go
+++ b/internal/claim/bucket.go
@@ -6,13 +6,15 @@
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 )
 
-// bucket is the state of one hash bucket of IDs.
+// bucket is the state of one hash bucket of IDs. keyState and lostAt are the
+// results of roster.Status if this process is the primary; otherwise keyState is
+// roster.Pending.
 type bucket struct {
 	number     int
 	key        string
 	primary    roster.Member
 	secondary  roster.Member
-	standing   roster.KeyState
+	keyState   roster.KeyState
 	lostAt     time.Time
 	loaded     bool
 	loading    bool
@@ -22,7 +24,7 @@
 
 // newBucket returns a bucket without replicas and entries.
 func newBucket(number int) *bucket {
-	return &bucket{number: number, key: BucketKey(number), standing: roster.Pending, entries: make(map[ID]*entry)}
+	return &bucket{number: number, key: BucketKey(number), keyState: roster.Pending, entries: make(map[ID]*entry)}
 }
 
 // entry is this process's in-memory state of one ID.
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,7 +1,7 @@
 // Package claim decides which attempt of a request with an idempotency key may
 // run, so that the request runs at most once.
 //
-// Every claim on an ID goes through the entry that is the ID's primary replica.
+// Every claim on an ID goes through the process that is the ID's primary replica.
 // The primary makes a claim durable before it grants it: by a conditional insert
 // into the platform's table, with many claims per transaction, or, while the table
 // is unavailable, by having the ID's secondary replica record the claim too. Both
@@ -48,7 +48,7 @@
 )
 
 // Buckets is the number of hash buckets by which IDs are distributed over the
-// entries.
+// entry processes.
 const Buckets = 256
 
 // keyPrefix is the prefix of the roster keys and row keys of all claims.
@@ -145,12 +145,12 @@
 }
 
 // Result is the recorded answer of a run. If the body is larger than the adapter's
-// limit, it is omitted and Whole is false.
+// limit, it is omitted and Complete is false.
 type Result struct {
-	Status int                 `json:"status"`
-	Header map[string][]string `json:"header,omitempty"`
-	Body   []byte              `json:"body,omitempty"`
-	Whole  bool                `json:"whole"`
+	Status   int                 `json:"status"`
+	Header   map[string][]string `json:"header,omitempty"`
+	Body     []byte              `json:"body,omitempty"`
+	Complete bool                `json:"whole"`
 }
 
 // Record is the value of a claim row. Generation starts at 1 and grows by one with
--- a/internal/claim/dump.go
+++ b/internal/claim/dump.go
@@ -58,7 +58,7 @@
 	if b.loaded {
 		s.LoadedBuckets++
 	}
-	switch b.standing {
+	switch b.keyState {
 	case roster.Pending:
 		s.WaitingBuckets++
 	case roster.Lost:
--- a/internal/claim/membership.go
+++ b/internal/claim/membership.go
@@ -23,7 +23,7 @@
 	if changed {
 		r.assignBuckets(successive)
 	}
-	r.updateStandings()
+	r.updateKeyStates()
 	if changed {
 		r.reroute(now)
 	}
@@ -49,15 +49,15 @@
 	}
 }
 
-// updateStandings updates the standings of the buckets of which this process is the
-// primary. This process knows the claims it granted itself, so its own
+// updateKeyStates updates the roster states of the buckets of which this process is
+// the primary. This process knows the claims it granted itself, so its own
 // acknowledgement needs no row.
-func (r *Replica) updateStandings() {
+func (r *Replica) updateKeyStates() {
 	r.acks[r.config.Self] = r.roster.Version
 	for _, b := range r.buckets {
-		b.standing = roster.Pending
+		b.keyState = roster.Pending
 		if b.primary.Identity == r.config.Self {
-			b.standing, b.lostAt = r.roster.Status(b.key, r.acks)
+			b.keyState, b.lostAt = r.roster.Status(b.key, r.acks)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 }
 
 // poll probes the table if it was down, acknowledges the roster version, and reads
-// the other entries' acknowledgements while a bucket waits for them.
+// the other processes' acknowledgements while a bucket waits for them.
 func (r *Replica) poll() {
 	if !r.tableUp && !r.probing {
 		r.probing = true
@@ -142,7 +142,7 @@
 // waits for acknowledgements.
 func (r *Replica) hasWaitingBucket() bool {
 	for _, b := range r.buckets {
-		if b.primary.Identity == r.config.Self && b.standing == roster.Pending {
+		if b.primary.Identity == r.config.Self && b.keyState == roster.Pending {
 			return true
 		}
 	}
@@ -170,13 +170,13 @@
 	return b.primary.Identity == r.config.Self &&
 		!b.loaded &&
 		!b.loading &&
-		b.standing != roster.Pending &&
+		b.keyState != roster.Pending &&
 		!now.Before(b.nextLoadAt)
 }
 
 // handleLoadResult merges the rows of a loaded bucket. Rows read at a former roster
 // version are discarded: another primary may have inserted claims since.
-func (r *Replica) handleLoadResult(now time.Time, c call, answer TableResult) {
+func (r *Replica) handleLoadResult(now time.Time, c call, result TableResult) {
 	r.activeScans--
 	b := c.bucket
 	if c.version != r.roster.Version {
@@ -184,11 +184,11 @@
 	}
 	b.loading = false
 	b.nextLoadAt = now.Add(r.config.ProbeInterval)
-	if answer.Err != nil {
+	if result.Err != nil {
 		r.handleTableDown(now)
 		return
 	}
-	for _, row := range answer.Rows {
+	for _, row := range result.Rows {
 		if !r.loadRow(now, b, row.Key, row.Value, row.Version) {
 			b.nextLoadAt = now.Add(r.config.Retention)
 			r.unload(b)
--- a/internal/claim/poll.go
+++ b/internal/claim/poll.go
@@ -37,46 +37,46 @@
 }
 
 // handlePollResult handles the results of the calls made by poll.
-func (r *Replica) handlePollResult(c call, answer TableResult) {
+func (r *Replica) handlePollResult(c call, result TableResult) {
 	switch c.kind {
 	case callProbe:
 		r.probing = false
-		r.handleProbe(answer)
+		r.handleProbe(result)
 	case callAck:
 		r.acking = false
-		if answer.Err == nil {
+		if result.Err == nil {
 			r.ackedVersion = max(r.ackedVersion, c.version)
 		}
 	case callReadAcks:
 		r.readingAcks = false
-		r.handleAcks(answer)
+		r.handleAcks(result)
 	}
 }
 
 // handleProbe requests a reread of the roster if its row has changed.
-func (r *Replica) handleProbe(answer TableResult) {
-	if answer.Err != nil || len(answer.Rows) != 1 {
+func (r *Replica) handleProbe(result TableResult) {
+	if result.Err != nil || len(result.Rows) != 1 {
 		return
 	}
-	if answer.Rows[0].Version != r.rosterRowVersion {
+	if result.Rows[0].Version != r.rosterRowVersion {
 		r.emit(StaleRoster{})
 	}
 }
 
-// handleAcks records the acknowledgements of all entries.
-func (r *Replica) handleAcks(answer TableResult) {
-	if answer.Err != nil {
+// handleAcks records the acknowledgements of all processes.
+func (r *Replica) handleAcks(result TableResult) {
+	if result.Err != nil {
 		return
 	}
 	own := roster.AckKey(r.config.Self)
-	for _, row := range answer.Rows {
+	for _, row := range result.Rows {
 		// A row that cannot be decoded acknowledges nothing.
 		_ = r.acks.Add(row.Value)
 		if row.Key == own {
 			r.checkOwnAck(row.Value)
 		}
 	}
-	r.updateStandings()
+	r.updateKeyStates()
 }
 
 // checkOwnAck makes the acknowledgement be rewritten if a delayed older commit has
--- a/internal/claim/replica.go
+++ b/internal/claim/replica.go
@@ -23,7 +23,8 @@
 	Self roster.Identity
 	// Retention is how long a claim is kept to answer repeated requests.
 	Retention time.Duration
-	// MaxClockSkew is the maximum difference between a caller's clock and ours.
+	// MaxClockSkew is the maximum difference between a caller's clock and this
+	// process's.
 	MaxClockSkew time.Duration
 	// ConfirmTimeout is how long to wait for the secondary's confirmation.
 	ConfirmTimeout time.Duration
@@ -209,7 +210,7 @@
 
 // refusalReason returns why the ID must not be claimed now, or ReasonNone.
 func (r *Replica) refusalReason(now time.Time, b *bucket, id ID) Reason {
-	switch b.standing {
+	switch b.keyState {
 	case roster.Pending:
 		return ReasonNotSynced
 	case roster.Lost:
@@ -229,7 +230,7 @@
 	switch {
 	case reason == ReasonReplicasLost:
 		answer.RetryAt = b.lostAt.Add(r.config.Retention)
-	case b.loaded && b.standing != roster.Pending && answer.Record.claimable(now):
+	case b.loaded && b.keyState != roster.Pending && answer.Record.claimable(now):
 		answer.Outcome = OutcomeNotRun
 	}
 	r.sendAnswer(answer)
--- a/internal/claim/replica_test.go
+++ b/internal/claim/replica_test.go
@@ -139,8 +139,8 @@
 	samePair := func(at time.Time) claim.ID {
 		for n := 0; ; n++ {
 			id := claim.ID{Team: "t", Service: "s", Key: uuid(at, n)}
-			h, s := sim.processes[0].roster.Pair(claim.BucketKey(id.Bucket()))
-			if h == primary && s == secondary {
+			p, s := sim.processes[0].roster.Pair(claim.BucketKey(id.Bucket()))
+			if p == primary && s == secondary {
 				return id
 			}
 		}
--- a/internal/claim/simulation_test.go
+++ b/internal/claim/simulation_test.go
@@ -15,7 +15,7 @@
 // mutations are protections that a run removes, to check that the simulation detects
 // the violation.
 type mutations struct {
-	localMemory         bool // each entry decides from its own memory
+	localMemory         bool // each process decides from its own memory
 	dispatchBeforeClaim bool // the request is dispatched before it is claimed
 	unflushedMove       bool // a new primary acts before the former one has written its claims
 	emptyRestart        bool // a restarted process answers with empty memory
--- a/internal/entry/idempotent.go
+++ b/internal/entry/idempotent.go
@@ -90,7 +90,7 @@
 // kept, it returns a problem that says that the request ran.
 func writeRecordedResponse(w http.ResponseWriter, record claim.Record) *api.Problem {
 	result := record.Result
-	if result == nil || !result.Whole {
+	if result == nil || !result.Complete {
 		return &api.Problem{
 			Title: "the request ran", Status: http.StatusConflict, Reason: "answer-not-kept",
 			Outcome: api.OutcomeRan, Detail: "the request ran; its answer was too large to keep",
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -66,7 +66,7 @@
 	}
 	result.Header = header
 	result.Body = res.prefix
-	result.Whole = true
+	result.Complete = true
 	return result
 }
 
--- a/internal/peer/claims.go
+++ b/internal/peer/claims.go
@@ -113,7 +113,7 @@
 	if r == nil {
 		return nil
 	}
-	m := &peerpb.Result{Status: int32(r.Status), Body: r.Body, Whole: r.Whole}
+	m := &peerpb.Result{Status: int32(r.Status), Body: r.Body, Whole: r.Complete}
 	for name, values := range r.Header {
 		m.Header = append(m.Header, &peerpb.HeaderField{Name: name, Values: values})
 	}
@@ -127,7 +127,7 @@
 	}
 	r := &claim.Result{
 		Status: int(m.GetStatus()), Header: make(map[string][]string, len(m.GetHeader())),
-		Body: m.GetBody(), Whole: m.GetWhole(),
+		Body: m.GetBody(), Complete: m.GetWhole(),
 	}
 	for _, field := range m.GetHeader() {
 		r.Header[field.GetName()] = field.GetValues()
