--- a/internal/limit/actions_test.go
+++ b/internal/limit/actions_test.go
@@ -10,7 +10,7 @@
 // action is a weighted simulation step on a process and the i-th manager.
 type action struct {
 	weight int
-	do     func(s *simulation, p *process, i int)
+	run    func(s *simulation, p *process, i int)
 }
 
 // baseActions are part of every run.
@@ -73,7 +73,7 @@
 	pick := s.intn(total)
 	for _, a := range s.actions {
 		if pick < a.weight {
-			a.do(s, p, s.intn(len(s.managers)))
+			a.run(s, p, s.intn(len(s.managers)))
 			return
 		}
 		pick -= a.weight
--- a/internal/limit/ledger_test.go
+++ b/internal/limit/ledger_test.go
@@ -353,7 +353,7 @@
 	}
 }
 
-func TestParseGrant(t *testing.T) {
+func TestParseAllocation(t *testing.T) {
 	tests := map[string]struct {
 		value   string
 		wantErr bool
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -58,7 +58,7 @@
 		"add totals of repeated transfers":       {broken: mutations{addTotals: true}, stream: 5},
 		"adopt a generation while carried":       {broken: mutations{adoptWhileCarried: true}, stream: 5},
 		"commit without a condition":             {broken: mutations{blindCommit: true}, stream: 2},
-		"give without debit":                     {broken: mutations{transferWithoutDebit: true}, stream: 5},
+		"transfer without debit":                 {broken: mutations{transferWithoutDebit: true}, stream: 5},
 		"lease by wall clock":                    {broken: mutations{leaseByClock: true}, stream: 4},
 		"lower without collecting":               {broken: mutations{lowerAtOnce: true}, stream: 5},
 		"reclaim before the longest run is over": {broken: mutations{noLongestRun: true}, stream: 5},
--- a/internal/limit/planner.go
+++ b/internal/limit/planner.go
@@ -44,7 +44,7 @@
 // teamPlan is a Planner's state of one team.
 type teamPlan struct {
 	reports map[Member]Report
-	// endedSince is when this planner first saw the evidence, by its own clock.
+	// endedSince is when this planner first observed the evidence, by its own clock.
 	endedSince map[Member]time.Time
 	// rebaseGeneration and rebaseSince are the generation that is being rebased
 	// and when the rebase began.
@@ -124,7 +124,7 @@
 }
 
 // gone returns the members whose work is certain to have ended: LongestRun has
-// passed since this planner first saw the evidence, which still holds.
+// passed since this planner first observed the evidence, which still holds.
 func (plan *teamPlan) gone(now time.Time, view View) map[Member]bool {
 	endedSince := make(map[Member]time.Time)
 	gone := make(map[Member]bool)
--- a/internal/limit/simulation_test.go
+++ b/internal/limit/simulation_test.go
@@ -145,13 +145,13 @@
 	if err != nil {
 		return limit.Allocation{}, table.Row{}, false
 	}
-	grant := limit.Allocation{Team: team}
+	row := limit.Allocation{Team: team}
 	if rows[0].Version != table.Absent {
-		if err := json.Unmarshal(rows[0].Value, &grant); err != nil {
+		if err := json.Unmarshal(rows[0].Value, &row); err != nil {
 			panic(err)
 		}
 	}
-	return grant, rows[0], true
+	return row, rows[0], true
 }
 
 func (s *simulation) readRow(p *process) {
