--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// requiredEvents lists the events that the simulated runs together must have
-// met.
+// requiredEvents lists the events that must occur at least once over all
+// simulated runs.
 var requiredEvents = []string{
 	"step", "started", "refused", "timeout", "transfers", "freezes", "lost", "doubled", "commit", "conflict",
 	"lost answer", "commit refused", "outage", "pause", "wake", "cut", "crash", "crash with work", "raised", "lowered", "carried group",
@@ -51,7 +51,7 @@
 	const maxRuns, steps = 3000, 600
 	tests := map[string]struct {
 		broken mutations
-		// stream selects random runs that meet the mutation early.
+		// stream selects random runs that detect the mutation early.
 		stream uint64
 	}{
 		"accept a transfer after the report":     {broken: mutations{acceptAfterReport: true}, stream: 5},
--- a/internal/task/runner/runner_test.go
+++ b/internal/task/runner/runner_test.go
@@ -283,7 +283,7 @@
 		}
 	}
 	if got, want := len(c.stats(c.workers[0]).Runs), maxRuns; got > want {
-		t.Errorf("runs on the bad worker: got %d, want at most %d", got, want)
+		t.Errorf("runs on the faulty worker: got %d, want at most %d", got, want)
 	}
 }
 
