--- a/internal/charge/recorder_test.go
+++ b/internal/charge/recorder_test.go
@@ -63,8 +63,8 @@
 	counts      map[string]int
 }
 
-func newSimulation(pick func(int) int, r mutations) *simulation {
-	s := &simulation{mutations: r, pick: pick, now: start, store: table.NewMemory(), counts: make(map[string]int)}
+func newSimulation(pick func(int) int, broken mutations) *simulation {
+	s := &simulation{mutations: broken, pick: pick, now: start, store: table.NewMemory(), counts: make(map[string]int)}
 	for _, name := range []string{"a", "b", "c"} {
 		s.startProcess(name, 1)
 	}
@@ -321,8 +321,8 @@
 	}
 }
 
-func runSimulation(pick func(int) int, n int, r mutations, totals map[string]int) string {
-	s := newSimulation(pick, r)
+func runSimulation(pick func(int) int, n int, broken mutations, totals map[string]int) string {
+	s := newSimulation(pick, broken)
 	var names []string
 	for name := range actions {
 		names = append(names, name)
@@ -381,11 +381,11 @@
 		"an id for each report":   {freshIDs: true},
 		"not mirrored":            {noMirror: true},
 	}
-	for name, r := range tests {
+	for name, broken := range tests {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(500) {
 				source := rand.New(rand.NewPCG(seed, 1))
-				if found := runSimulation(source.IntN, 150, r, make(map[string]int)); found != "" {
+				if found := runSimulation(source.IntN, 150, broken, make(map[string]int)); found != "" {
 					t.Logf("seed %d: %s", seed, found)
 					return
 				}
