--- a/internal/revision/transaction.go
+++ b/internal/revision/transaction.go
@@ -210,7 +210,8 @@
 }
 
 // isStoreError reports whether err leaves the outcome of an earlier commit
-// unknown.
+// unknown. *StaleRevisionError and *ReusedError do not: the operation history was
+// read before them and lacks the commit.
 func isStoreError(err error) bool {
 	var stale *StaleRevisionError
 	var reused *ReusedError
