--- a/internal/pool/planner_test.go
+++ b/internal/pool/planner_test.go
@@ -88,8 +88,8 @@
 		}
 		f.step()
 		for _, p := range f.pools {
-			beyond := p.Load - float64(f.serving(p.Name))
-			idle, late = idle+max(0, -beyond), late+max(0, beyond)
+			excess := p.Load - float64(f.serving(p.Name))
+			idle, late = idle+max(0, -excess), late+max(0, excess)
 		}
 	}
 	return idle, late
--- a/internal/pool/simulation_test.go
+++ b/internal/pool/simulation_test.go
@@ -322,10 +322,10 @@
 // violation when any one safeguard is removed.
 func TestOracleDetectsMissingSafeguards(t *testing.T) {
 	tests := map[string]func(*safeguards){
-		"row version":    func(r *safeguards) { r.rowVersion = false },
-		"roster version": func(r *safeguards) { r.rosterVersion = false },
-		"confirmations":  func(r *safeguards) { r.confirmations = false },
-		"longest run":    func(r *safeguards) { r.longestRun = false },
+		"row version":    func(s *safeguards) { s.rowVersion = false },
+		"roster version": func(s *safeguards) { s.rosterVersion = false },
+		"confirmations":  func(s *safeguards) { s.confirmations = false },
+		"longest run":    func(s *safeguards) { s.longestRun = false },
 	}
 	for name, mutate := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/pool/step.go
+++ b/internal/pool/step.go
@@ -195,17 +195,17 @@
 func (s *step) addPoolStatuses() {
 	for _, pool := range s.view.Pools {
 		m := s.members[pool.Name]
-		entry := Status{
+		status := Status{
 			Name: pool.Name, Serving: len(m.serving), Incoming: m.incoming, Need: s.needs[pool.Name],
 			Short: m.survivingRackLoss("")+m.incoming < pool.Minimum,
 		}
 		if b := s.planner.burstPattern.byPool[pool.Name]; b != nil {
-			entry.Bursting = b.bursting
+			status.Bursting = b.bursting
 		}
 		if f, ok := s.forecasts[pool.Name]; ok {
-			entry.Forecast = &f
+			status.Forecast = &f
 		}
-		s.plan.Pools = append(s.plan.Pools, entry)
+		s.plan.Pools = append(s.plan.Pools, status)
 	}
 	slices.SortFunc(s.plan.Pools, func(a, b Status) int { return cmp.Compare(a.Name, b.Name) })
 }
