--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -45,15 +45,15 @@
 	var jobs []*job
 	for i := range n {
 		q := random.IntN(len(biases))
-		off := biases[q] * math.Exp(0.3*random.NormFloat64())
+		factor := biases[q] * math.Exp(0.3*random.NormFloat64())
 		d := demand(fmt.Sprintf("q%d/%04d", q, i), place.Normal, 1+3*random.Float64(), 2+random.Int64N(10))
 		d.Queue = fmt.Sprint("q", q)
 		seconds := 20 + 100*random.Float64()
 		d.RunTime = time.Duration(seconds * float64(time.Second))
 		jobs = append(jobs, &job{
 			demand:    d,
-			actual:    place.Size{CPUs: d.Declared.CPUs * off, Memory: int64(float64(d.Declared.Memory) * off)},
-			remaining: seconds * off, total: seconds * off,
+			actual:    place.Size{CPUs: d.Declared.CPUs * factor, Memory: int64(float64(d.Declared.Memory) * factor)},
+			remaining: seconds * factor, total: seconds * factor,
 		})
 	}
 	return jobs
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -180,57 +180,57 @@
 type faultyPool struct {
 	placer *place.Placer
 	now    time.Time
-	bad    int
+	faulty int
 	wasted int
 }
 
-func (c *faultyPool) isBad(worker string) bool {
-	return worker < fmt.Sprintf("worker-%d", c.bad)
+func (p *faultyPool) isFaulty(worker string) bool {
+	return worker < fmt.Sprintf("worker-%d", p.faulty)
 }
 
 // run tries the task on up to three workers. A poison task fails on each of them.
-func (c *faultyPool) run(t *rapid.T, d place.Demand, poison bool) {
+func (p *faultyPool) run(t *rapid.T, d place.Demand, poison bool) {
 	for range 3 {
-		c.now = c.now.Add(time.Second)
-		decision := c.placer.Choose(c.now, d)
+		p.now = p.now.Add(time.Second)
+		decision := p.placer.Choose(p.now, d)
 		if got, want := decision.Outcome, place.Placed; got != want {
 			t.Fatalf("task %s: got %s, want %s", d.Task, got, want)
 		}
-		c.placer.Place(c.now, d, decision.Worker)
-		if !c.isBad(decision.Worker) && !poison {
-			c.placer.Release(c.now, d.Task, place.Succeeded)
+		p.placer.Place(p.now, d, decision.Worker)
+		if !p.isFaulty(decision.Worker) && !poison {
+			p.placer.Release(p.now, d.Task, place.Succeeded)
 			break
 		}
-		if c.isBad(decision.Worker) {
-			c.wasted++
+		if p.isFaulty(decision.Worker) {
+			p.wasted++
 		}
-		c.placer.Release(c.now, d.Task, place.Failed)
+		p.placer.Release(p.now, d.Task, place.Failed)
 		d.Avoid = append(d.Avoid, decision.Worker)
 	}
-	c.placer.Forget(d.Task)
+	p.placer.Forget(d.Task)
 }
 
-// TestFailureAttribution runs good and poison tasks on good and bad workers. It
-// checks that few runs are wasted on bad workers and that no good worker is
+// TestFailureAttribution runs sound and poison tasks on healthy and faulty workers.
+// It checks that few runs are wasted on faulty workers and that no healthy worker is
 // quarantined.
 func TestFailureAttribution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const workers = 6
-		c := &faultyPool{placer: pool(place.Config{}, workers), now: start}
-		c.bad = rapid.IntRange(0, 2).Draw(t, "bad workers")
+		p := &faultyPool{placer: pool(place.Config{}, workers), now: start}
+		p.faulty = rapid.IntRange(0, 2).Draw(t, "bad workers")
 		poison := rapid.IntRange(0, 3).Draw(t, "poison tasks of ten")
 		for i := range 200 {
-			c.run(t, demand(fmt.Sprintf("task-%03d", i), place.Normal, 2, 2), i%10 < poison)
+			p.run(t, demand(fmt.Sprintf("task-%03d", i), place.Normal, 2, 2), i%10 < poison)
 		}
 		// Each quarantine is twice as long as the last, so that few runs are
-		// wasted on bad workers.
-		if got, want := c.wasted, 12*c.bad; got > want {
-			t.Errorf("runs on bad workers: got %d, want at most %d", got, want)
+		// wasted on faulty workers.
+		if got, want := p.wasted, 12*p.faulty; got > want {
+			t.Errorf("runs on faulty workers: got %d, want at most %d", got, want)
 		}
-		for _, w := range c.placer.Dump() {
-			quarantined := w.QuarantinedUntil != "" && w.QuarantinedUntil > c.now.Format(time.RFC3339)
-			if quarantined && !c.isBad(w.Name) {
-				t.Errorf("good worker %s is quarantined", w.Name)
+		for _, w := range p.placer.Dump() {
+			quarantined := w.QuarantinedUntil != "" && w.QuarantinedUntil > p.now.Format(time.RFC3339)
+			if quarantined && !p.isFaulty(w.Name) {
+				t.Errorf("healthy worker %s is quarantined", w.Name)
 			}
 		}
 	})
--- a/internal/place/worker.go
+++ b/internal/place/worker.go
@@ -86,13 +86,13 @@
 }
 
 // blocks reports whether the reservation excludes the task.
-func (h *reservation) blocks(now time.Time, d Demand) bool {
-	return h.inForce(now) && h.task != d.Task && !d.Class.before(h.class)
+func (r *reservation) blocks(now time.Time, d Demand) bool {
+	return r.inForce(now) && r.task != d.Task && !d.Class.before(r.class)
 }
 
 // inForce reports whether there is a reservation that has not expired.
-func (h *reservation) inForce(now time.Time) bool {
-	return h != nil && now.Before(h.until)
+func (r *reservation) inForce(now time.Time) bool {
+	return r != nil && now.Before(r.until)
 }
 
 // placedTask is a task that is placed on a worker.
@@ -109,20 +109,20 @@
 }
 
 // observe records a usage report, which may lag, and updates the need.
-func (h *placedTask) observe(now time.Time, usage Size, expected Size) {
-	h.peak = h.peak.componentMax(usage)
-	if now.Sub(h.placedAt) < warmUpTime {
-		h.need = h.need.componentMax(h.peak)
+func (t *placedTask) observe(now time.Time, usage Size, expected Size) {
+	t.peak = t.peak.componentMax(usage)
+	if now.Sub(t.placedAt) < warmUpTime {
+		t.need = t.need.componentMax(t.peak)
 		return
 	}
 	// The task may still grow, so keep headroom and at least a fraction of the
 	// usage expected of its queue.
-	h.need = Size{
-		CPUs:         max(h.peak.CPUs*headroom, expected.CPUs/maxShrinkFactor),
-		Memory:       max(scaleMemory(h.peak.Memory, headroom), scaleMemory(expected.Memory, 1/maxShrinkFactor)),
-		Accelerators: h.demand.Declared.Accelerators,
+	t.need = Size{
+		CPUs:         max(t.peak.CPUs*headroom, expected.CPUs/maxShrinkFactor),
+		Memory:       max(scaleMemory(t.peak.Memory, headroom), scaleMemory(expected.Memory, 1/maxShrinkFactor)),
+		Accelerators: t.demand.Declared.Accelerators,
 	}
-	if h.throttled {
-		h.need.CPUs *= throttledRate
+	if t.throttled {
+		t.need.CPUs *= throttledRate
 	}
 }
