--- a/internal/share/config.go
+++ b/internal/share/config.go
@@ -37,7 +37,7 @@
 	minDivideInterval = 2 * time.Millisecond
 	maxCredit         = 500 * time.Millisecond
 	quotaTimeConstant = 2 * time.Second
-	durationSamples   = 16 // samples
+	durationSamples   = 16 // runs in the moving average of run times
 	maxDebt           = 1  // slot-seconds
 )
 
--- a/internal/share/divide_test.go
+++ b/internal/share/divide_test.go
@@ -116,14 +116,14 @@
 		demands := drawDemands(t)
 		capacity := rapid.IntRange(1, 120).Draw(t, "capacity")
 		before := totals(Divide(capacity, nil, demands))
-		late := demands[0].Flows[0].Flow
+		lagging := demands[0].Flows[0].Flow
 		demands[0].Flows[0].Lag = rapid.Float64Range(0, 1000).Draw(t, "lag")
 		after := totals(Divide(capacity, nil, demands))
-		if after[late] < before[late]-tolerance || after[late] > before[late]*maxCorrection+tolerance {
-			t.Fatalf("got %v slots for the flow that lags, had %v", after[late], before[late])
+		if after[lagging] < before[lagging]-tolerance || after[lagging] > before[lagging]*maxCorrection+tolerance {
+			t.Fatalf("got %v slots for the flow that lags, had %v", after[lagging], before[lagging])
 		}
 		for flow := range before {
-			if flow != late && after[flow] < before[flow]/maxCorrection-tolerance {
+			if flow != lagging && after[flow] < before[flow]/maxCorrection-tolerance {
 				t.Fatalf("%v: got %v slots, had %v", flow, after[flow], before[flow])
 			}
 		}
--- a/internal/share/scheduler_test.go
+++ b/internal/share/scheduler_test.go
@@ -15,13 +15,13 @@
 // fleet holds the schedulers of three entries and the expected state of their
 // tickets.
 type fleet struct {
-	t        *rapid.T
-	now      time.Time
-	capacity int
-	nodes    []*Scheduler
-	waiting  []map[uint64]time.Time
-	running  []map[uint64]bool
-	lastID   uint64
+	t          *rapid.T
+	now        time.Time
+	capacity   int
+	schedulers []*Scheduler
+	waiting    []map[uint64]time.Time
+	running    []map[uint64]bool
+	lastID     uint64
 }
 
 const testQueueLimit = 5
@@ -29,7 +29,7 @@
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{t: t, now: epoch, capacity: rapid.IntRange(0, 12).Draw(t, "capacity")}
 	for i := range 3 {
-		f.nodes = append(f.nodes, New(Config{
+		f.schedulers = append(f.schedulers, New(Config{
 			Entry: fmt.Sprintf("e%d", i), Capacity: f.capacity, QueueLimit: testQueueLimit,
 			Weights: map[string]float64{"t0": 3},
 		}))
@@ -64,7 +64,7 @@
 		Class:    Class(rapid.IntRange(0, 2).Draw(f.t, "class")),
 		Deadline: f.now.Add(time.Duration(rapid.IntRange(-10, 900).Draw(f.t, "patience")) * time.Millisecond),
 	}
-	switch out := f.nodes[i].Submit(f.now, ticket); out.Decision {
+	switch out := f.schedulers[i].Submit(f.now, ticket); out.Decision {
 	case Start:
 		f.running[i][ticket.ID] = true
 	case Queued:
@@ -88,8 +88,8 @@
 }
 
 func (f *fleet) step() {
-	i := rapid.IntRange(0, len(f.nodes)-1).Draw(f.t, "entry")
-	s := f.nodes[i]
+	i := rapid.IntRange(0, len(f.schedulers)-1).Draw(f.t, "entry")
+	s := f.schedulers[i]
 	switch rapid.IntRange(0, 6).Draw(f.t, "event") {
 	case 0, 1:
 		f.submit(i)
@@ -106,8 +106,8 @@
 			delete(f.waiting[i], id)
 		}
 	case 4:
-		from := rapid.IntRange(0, len(f.nodes)-1).Draw(f.t, "from")
-		f.applyActions(i, s.SetPeer(f.now, f.nodes[from].Demand()))
+		from := rapid.IntRange(0, len(f.schedulers)-1).Draw(f.t, "from")
+		f.applyActions(i, s.SetPeer(f.now, f.schedulers[from].Demand()))
 	case 5:
 		f.now = f.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(f.t, "pass")) * time.Millisecond)
 	case 6:
@@ -116,8 +116,8 @@
 }
 
 func (f *fleet) tick(i int) {
-	f.applyActions(i, f.nodes[i].Tick(f.now))
-	state := f.nodes[i].State()
+	f.applyActions(i, f.schedulers[i].Tick(f.now))
+	state := f.schedulers[i].State()
 	for id, deadline := range f.waiting[i] {
 		if !deadline.After(f.now) {
 			f.t.Fatalf("ticket %d is still queued after its deadline %v at %v", id, deadline, f.now)
@@ -145,7 +145,7 @@
 	var last []Demand
 	for range maxExchanges {
 		var demands []Demand
-		for i, s := range f.nodes {
+		for i, s := range f.schedulers {
 			f.tick(i)
 			demands = append(demands, s.Demand())
 		}
@@ -153,7 +153,7 @@
 			return
 		}
 		last = demands
-		for i, s := range f.nodes {
+		for i, s := range f.schedulers {
 			for _, demand := range demands {
 				f.applyActions(i, s.SetPeer(f.now, demand))
 			}
@@ -171,13 +171,13 @@
 			f.step()
 		}
 		f.exchangeDemand()
-		demands, division := []Demand{}, 0
-		for _, s := range f.nodes {
+		demands, slots := []Demand{}, 0
+		for _, s := range f.schedulers {
 			demands = append(demands, s.Demand())
-			division += s.State().Slots
+			slots += s.State().Slots
 		}
-		want := Divide(f.capacity, f.nodes[0].cfg.Weights, demands)
-		for _, s := range f.nodes {
+		want := Divide(f.capacity, f.schedulers[0].cfg.Weights, demands)
+		for _, s := range f.schedulers {
 			got := s.State()
 			for _, flow := range got.Flows {
 				if d := flow.Quota - want.Quota[s.cfg.Entry][flow.Flow]; d > tolerance || d < -tolerance {
@@ -185,8 +185,8 @@
 				}
 			}
 		}
-		if division != f.capacity {
-			t.Fatalf("got %d slots in all entries, want %d", division, f.capacity)
+		if slots != f.capacity {
+			t.Fatalf("got %d slots in all entries, want %d", slots, f.capacity)
 		}
 	})
 }
