--- a/internal/route/endpoint.go
+++ b/internal/route/endpoint.go
@@ -7,7 +7,7 @@
 
 const (
 	initialRamp          = 1 // requests in flight allowed at a returning endpoint
-	smoothingSamples     = 8 // samples
+	smoothingSamples     = 8 // requests in the moving averages of run times and failures
 	slowFactor           = 2 // multiple of the median run time above which an endpoint is slow
 	maxSlowness          = 10
 	slownessHalfLife     = 5 * time.Second
@@ -17,9 +17,9 @@
 // endpoint is this entry's state of an endpoint.
 type endpoint struct {
 	Endpoint
-	gone     bool
-	inFlight int
-	peers    int // requests in flight from other entries
+	gone          bool
+	inFlight      int
+	peersInFlight int // requests in flight from other entries
 
 	runTime             float64 // mean run time of successes in seconds
 	sampledAt           time.Time
@@ -93,6 +93,6 @@
 		return 1
 	}
 	excess := min(e.runTime/median, maxSlowness) - 1
-	halves := now.Sub(e.sampledAt).Seconds() / slownessHalfLife.Seconds()
-	return 1 + excess*math.Exp2(-halves)
+	halfLives := now.Sub(e.sampledAt).Seconds() / slownessHalfLife.Seconds()
+	return 1 + excess*math.Exp2(-halfLives)
 }
--- a/internal/route/picker.go
+++ b/internal/route/picker.go
@@ -244,7 +244,7 @@
 // endpoints fail, because small differences between failing endpoints would
 // direct all work to one of them.
 func (p *Picker) score(now time.Time, e *endpoint) float64 {
-	load := float64(e.inFlight+1) + p.cfg.PeerWeight*float64(e.peers)
+	load := float64(e.inFlight+1) + p.cfg.PeerWeight*float64(e.peersInFlight)
 	if e.DataCentre != p.cfg.DataCentre {
 		load += p.cfg.RemotePenalty
 	}
@@ -338,12 +338,12 @@
 func (p *Picker) applyLoad(from *peer, load []EndpointLoad) {
 	from.load = append(from.load[:0], load...)
 	for _, e := range p.endpoints {
-		e.peers = 0
+		e.peersInFlight = 0
 	}
 	for _, other := range p.peers {
 		for _, l := range other.load {
 			if e, ok := p.byAddress[l.Address]; ok {
-				e.peers += max(0, l.InFlight)
+				e.peersInFlight += max(0, l.InFlight)
 			}
 		}
 	}
--- a/internal/route/picker_test.go
+++ b/internal/route/picker_test.go
@@ -63,8 +63,8 @@
 	}
 	got, ok := m.picker.Pick(m.now, m.random, exclude)
 	if !ok {
-		if out := m.ejected(before); free > out {
-			m.t.Fatalf("got no endpoint, though %d are free and %d ejected", free, out)
+		if ejected := m.ejected(before); free > ejected {
+			m.t.Fatalf("got no endpoint, though %d are free and %d ejected", free, ejected)
 		}
 		return
 	}
@@ -81,13 +81,13 @@
 }
 
 func (m *pickerModel) ejected(state State) int {
-	out := 0
+	count := 0
 	for _, e := range state.Endpoints {
 		if e.EjectedUntil.After(m.now) && !e.Leaving {
-			out++
+			count++
 		}
 	}
-	return out
+	return count
 }
 
 func (m *pickerModel) done() {
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -34,7 +34,7 @@
 			DataCentre:    e.DataCentre,
 			Leaving:       e.Leaving || e.gone,
 			InFlight:      e.inFlight,
-			PeersInFlight: e.peers,
+			PeersInFlight: e.peersInFlight,
 			MeanRunTime:   time.Duration(e.runTime * float64(time.Second)).String(),
 			FailureRatio:  e.failureRatio,
 			EjectedUntil:  e.ejectedUntil,
