--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -171,10 +171,10 @@
 			key := fmt.Sprint(i)
 			primary, secondary := before.Pair(key)
 			if primary.Name == secondary.Name {
-				t.Fatalf("key %s has one holder, %s", key, primary.Name)
+				t.Fatalf("key %s has the same primary and secondary, %s", key, primary.Name)
 			}
 			if len(centres) > 1 && primary.DataCentre == secondary.DataCentre {
-				t.Fatalf("key %s has both holders in %s", key, primary.DataCentre)
+				t.Fatalf("key %s has its primary and secondary in %s", key, primary.DataCentre)
 			}
 			moved, _ := after.Pair(key)
 			if primary.Name != leaver && moved.Name != primary.Name {
