--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// requiredEvents lists the events that the simulated runs together must have
-// met.
+// requiredEvents lists the events that must occur at least once over all
+// simulated runs.
 var requiredEvents = []string{
 	"step", "started", "refused", "timeout", "transfers", "freezes", "lost", "doubled", "commit", "conflict",
 	"lost answer", "commit refused", "outage", "pause", "wake", "cut", "crash", "crash with work", "raised", "lowered", "carried group",
@@ -51,14 +51,14 @@
 	const maxRuns, steps = 3000, 600
 	tests := map[string]struct {
 		broken mutations
-		// stream selects random runs that meet the mutation early.
+		// stream selects random runs that detect the mutation early.
 		stream uint64
 	}{
 		"accept a transfer after the report":     {broken: mutations{acceptAfterReport: true}, stream: 5},
 		"add totals of repeated transfers":       {broken: mutations{addTotals: true}, stream: 5},
 		"adopt a generation while carried":       {broken: mutations{adoptWhileCarried: true}, stream: 5},
 		"commit without a condition":             {broken: mutations{blindCommit: true}, stream: 2},
-		"give without debit":                     {broken: mutations{transferWithoutDebit: true}, stream: 5},
+		"transfer without debit":                 {broken: mutations{transferWithoutDebit: true}, stream: 5},
 		"lease by wall clock":                    {broken: mutations{leaseByClock: true}, stream: 4},
 		"lower without collecting":               {broken: mutations{lowerAtOnce: true}, stream: 5},
 		"reclaim before the longest run is over": {broken: mutations{noLongestRun: true}, stream: 5},
