--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -93,7 +93,7 @@
 		return Timeline{}, errors.New("the logs contain no line of a lovagedyke process")
 	}
 	if len(timeline.Lines) == 0 {
-		return Timeline{}, errors.Newf("none of the %d log lines mentions job %s", parsed, id)
+		return Timeline{}, errors.Newf("none of %d lines names %s", parsed, id)
 	}
 	slices.SortStableFunc(timeline.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	for i := 1; i < len(timeline.Lines); i++ {
