--- a/internal/port/port.go
+++ b/internal/httpserver/server.go
@@ -1,13 +1,13 @@
-// Package port runs HTTP servers with limits on connections, header sizes and
+// Package httpserver runs HTTP servers with limits on connections, header sizes and
 // times, and with graceful shutdown.
 //
 // # Usage
 //
-//	p, err := port.Open(port.Config{Name: "caller", Address: address, Handler: handler})
+//	server, err := httpserver.Start(httpserver.Config{Name: "caller", Address: address, Handler: handler})
 //	...
-//	p.Drain()                // responses ask the caller to close its connection
-//	err = p.Shutdown(ctx)    // waits for requests in flight
-package port
+//	server.Drain()             // responses ask the caller to close its connection
+//	err = server.Shutdown(ctx) // waits for requests in flight
+package httpserver
 
 import (
 	"context"
@@ -32,7 +32,7 @@
 	DefaultIdleTimeout       = 2 * time.Minute
 )
 
-// Config configures a Port. Zero values mean the defaults.
+// Config configures a Server. Zero values mean the defaults.
 type Config struct {
 	Name    string
 	Address netip.AddrPort
@@ -44,7 +44,7 @@
 	ReadHeaderTimeout time.Duration
 	IdleTimeout       time.Duration
 	// ReadTimeout bounds the time to read an entire request. 0 means no bound, for
-	// ports with streamed bodies.
+	// servers with streamed bodies.
 	ReadTimeout time.Duration
 }
 
@@ -65,27 +65,27 @@
 	return c
 }
 
-// Port is an HTTP server on one address.
-type Port struct {
-	config   Config
-	server   *http.Server
-	address  netip.AddrPort
-	draining atomic.Bool
-	done     chan error
+// Server is an HTTP server on one address.
+type Server struct {
+	config     Config
+	httpServer *http.Server
+	address    netip.AddrPort
+	draining   atomic.Bool
+	done       chan error
 }
 
-// Open listens on the address and serves requests in a goroutine until Shutdown or
+// Start listens on the address and serves requests in a goroutine until Shutdown or
 // Close.
-func Open(config Config) (*Port, error) {
+func Start(config Config) (*Server, error) {
 	config = config.withDefaults()
 	listener, err := net.Listen("tcp", config.Address.String())
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on the %s port", config.Name)
 	}
-	p := &Port{config: config, done: make(chan error, 1)}
-	p.address = listener.Addr().(*net.TCPAddr).AddrPort()
-	p.server = &http.Server{
-		Handler:           http.HandlerFunc(p.handle),
+	s := &Server{config: config, done: make(chan error, 1)}
+	s.address = listener.Addr().(*net.TCPAddr).AddrPort()
+	s.httpServer = &http.Server{
+		Handler:           http.HandlerFunc(s.handle),
 		TLSConfig:         config.TLS,
 		MaxHeaderBytes:    config.MaxHeader,
 		ReadHeaderTimeout: config.ReadHeaderTimeout,
@@ -94,28 +94,28 @@
 		ErrorLog:          stdlog.New(io.Discard, "", 0),
 	}
 	limited := newLimitListener(listener, config.MaxConnections)
-	go func() { p.done <- p.serveListener(limited) }()
-	return p, nil
+	go func() { s.done <- s.serveListener(limited) }()
+	return s, nil
 }
 
 // serveListener serves until the server is closed.
-func (p *Port) serveListener(listener net.Listener) error {
+func (s *Server) serveListener(listener net.Listener) error {
 	var err error
-	if p.config.TLS != nil {
-		err = p.server.ServeTLS(listener, "", "")
+	if s.config.TLS != nil {
+		err = s.httpServer.ServeTLS(listener, "", "")
 	} else {
-		err = p.server.Serve(listener)
+		err = s.httpServer.Serve(listener)
 	}
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return errors.Wrapf(err, "serve the %s port", p.config.Name)
+	return errors.Wrapf(err, "serve the %s port", s.config.Name)
 }
 
 // handle passes a request to the handler. While draining, it asks the caller to
 // close the connection. A handler's panic means a violated invariant: it is raised
 // again in a goroutine to stop the process, because net/http would recover it.
-func (p *Port) handle(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	defer func() {
 		reason := recover()
 		if reason == nil {
@@ -126,30 +126,30 @@
 		}
 		go panic(reason)
 	}()
-	if p.draining.Load() {
+	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	p.config.Handler.ServeHTTP(w, r)
+	s.config.Handler.ServeHTTP(w, r)
 }
 
-// Address returns the address that the port listens on.
-func (p *Port) Address() netip.AddrPort { return p.address }
+// Address returns the address that the server listens on.
+func (s *Server) Address() netip.AddrPort { return s.address }
 
 // Done delivers the error that ended serving, nil after Shutdown or Close.
-func (p *Port) Done() <-chan error { return p.done }
+func (s *Server) Done() <-chan error { return s.done }
 
 // Drain makes every further response ask the caller to close its connection. The
-// port still accepts requests. Idle connections stay open, because closing one could
-// abort a request that the caller is sending.
-func (p *Port) Drain() { p.draining.Store(true) }
+// server still accepts requests. Idle connections stay open, because closing one
+// could abort a request that the caller is sending.
+func (s *Server) Drain() { s.draining.Store(true) }
 
 // Shutdown stops accepting connections and waits for the requests in flight.
-func (p *Port) Shutdown(ctx context.Context) error {
-	return errors.Wrapf(p.server.Shutdown(ctx), "shut down the %s port", p.config.Name)
+func (s *Server) Shutdown(ctx context.Context) error {
+	return errors.Wrapf(s.httpServer.Shutdown(ctx), "shut down the %s port", s.config.Name)
 }
 
-// Close closes the port and all its connections at once.
-func (p *Port) Close() error { return p.server.Close() }
+// Close closes the server and all its connections at once.
+func (s *Server) Close() error { return s.httpServer.Close() }
 
 // limitListener limits the number of open connections. Further connections wait in
 // the listen backlog.
--- a/internal/port/port_test.go
+++ b/internal/httpserver/server_test.go
@@ -1,4 +1,4 @@
-package port_test
+package httpserver_test
 
 import (
 	"context"
@@ -12,33 +12,33 @@
 
 	"go.uber.org/goleak"
 
-	"github.com/lovagedyke/lovagedyke/internal/port"
+	"github.com/lovagedyke/lovagedyke/internal/httpserver"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func open(t *testing.T, config port.Config) *port.Port {
+func startServer(t *testing.T, config httpserver.Config) *httpserver.Server {
 	t.Helper()
 	config.Name = "test"
 	config.Address = netip.MustParseAddrPort("127.0.0.1:0")
-	p, err := port.Open(config)
+	server, err := httpserver.Start(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = p.Close(); <-p.Done() })
-	return p
+	t.Cleanup(func() { _ = server.Close(); <-server.Done() })
+	return server
 }
 
 func TestShutdownWaitsForRequestsInFlight(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
-	p := open(t, port.Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := startServer(t, httpserver.Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(entered)
 		<-release
 		_, _ = io.WriteString(w, "whole")
 	})})
 	body := make(chan string, 1)
 	go func() {
-		response, err := http.Get("http://" + p.Address().String())
+		response, err := http.Get("http://" + server.Address().String())
 		if err != nil {
 			body <- err.Error()
 			return
@@ -48,9 +48,9 @@
 		body <- string(text)
 	}()
 	<-entered
-	p.Drain()
+	server.Drain()
 	stopped := make(chan error, 1)
-	go func() { stopped <- p.Shutdown(context.Background()) }()
+	go func() { stopped <- server.Shutdown(context.Background()) }()
 	close(release)
 	if got, want := <-body, "whole"; got != want {
 		t.Errorf("response to the request in flight: got %q, want %q", got, want)
@@ -62,9 +62,9 @@
 }
 
 func TestDrainAsksTheCallerToClose(t *testing.T) {
-	p := open(t, port.Config{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})})
+	server := startServer(t, httpserver.Config{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})})
 	for _, want := range []bool{false, true} {
-		response, err := http.Get("http://" + p.Address().String())
+		response, err := http.Get("http://" + server.Address().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,24 +72,24 @@
 		if got := response.Close; got != want {
 			t.Errorf("connection closes: got %v, want %v", got, want)
 		}
-		p.Drain()
+		server.Drain()
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
 func TestLimits(t *testing.T) {
 	tests := map[string]struct {
-		config port.Config
+		config httpserver.Config
 		send   string
 		want   string
 	}{
 		"large header": {
-			config: port.Config{MaxHeader: 1 << 10},
+			config: httpserver.Config{MaxHeader: 1 << 10},
 			send:   "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 16<<10) + "\r\n\r\n",
 			want:   "HTTP/1.1 431",
 		},
 		"slow header": {
-			config: port.Config{ReadHeaderTimeout: 50 * time.Millisecond},
+			config: httpserver.Config{ReadHeaderTimeout: 50 * time.Millisecond},
 			send:   "GET / HTTP/1.1\r\nHost:",
 			want:   "",
 		},
@@ -97,8 +97,8 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			tc.config.Handler = http.NotFoundHandler()
-			p := open(t, tc.config)
-			conn, err := net.Dial("tcp", p.Address().String())
+			server := startServer(t, tc.config)
+			conn, err := net.Dial("tcp", server.Address().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -113,12 +113,12 @@
 }
 
 func TestConnectionsBeyondTheLimitWait(t *testing.T) {
-	p := open(t, port.Config{MaxConnections: 1, Handler: http.NotFoundHandler()})
-	first, err := net.Dial("tcp", p.Address().String())
+	server := startServer(t, httpserver.Config{MaxConnections: 1, Handler: http.NotFoundHandler()})
+	first, err := net.Dial("tcp", server.Address().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := net.Dial("tcp", p.Address().String())
+	second, err := net.Dial("tcp", server.Address().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -9,7 +9,7 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/lovagedyke/lovagedyke/internal/entry"
-	"github.com/lovagedyke/lovagedyke/internal/port"
+	"github.com/lovagedyke/lovagedyke/internal/httpserver"
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 	"github.com/lovagedyke/lovagedyke/internal/settings"
 )
@@ -28,7 +28,7 @@
 		MaxBody: config.MaxBody,
 	})
 	p.node.Add(e)
-	if err := p.openInternalPorts(e.Service(), func() any { return e.Snapshot() }); err != nil {
+	if err := p.startInternalServers(e.Service(), func() any { return e.Snapshot() }); err != nil {
 		return err
 	}
 
@@ -46,7 +46,7 @@
 	if err := e.AwaitReady(ctx); err != nil {
 		return err
 	}
-	callers, err := p.open(port.Config{Name: "caller", Address: config.CallerAddress, Handler: e})
+	callerServer, err := p.startServer(httpserver.Config{Name: "caller", Address: config.CallerAddress, Handler: e})
 	if err != nil {
 		return err
 	}
@@ -55,25 +55,25 @@
 
 	select {
 	case <-ctx.Done():
-	case err := <-callers.Done():
+	case err := <-callerServer.Done():
 		return err
 	case <-p.watchDropped(loopCtx):
-		return errors.CombineErrors(errDropped, p.stopEntry(e, callers))
+		return errors.CombineErrors(errDropped, p.stopEntry(e, callerServer))
 	}
-	return p.stopEntry(e, callers)
+	return p.stopEntry(e, callerServer)
 }
 
 // stopEntry stops an entry gracefully.
-func (p *process) stopEntry(e *entry.Entry, callers *port.Port) error {
+func (p *process) stopEntry(e *entry.Entry, callerServer *httpserver.Server) error {
 	p.log.Info("stopping", "balancer-delay", p.config.BalancerDelay, "grace", p.config.Grace)
 	p.setReady(errDraining)
-	callers.Drain()
+	callerServer.Drain()
 	sleep(context.Background(), p.config.BalancerDelay)
 	// Requests that outlive the grace period are aborted, so that permits and
 	// claims can still be handed over.
 	requestCtx, cancel := context.WithTimeout(context.Background(), p.config.Grace)
 	defer cancel()
-	err := callers.Shutdown(requestCtx)
+	err := callerServer.Shutdown(requestCtx)
 	if drainErr := e.Drain(requestCtx); err == nil {
 		err = drainErr
 	}
--- a/internal/process/manager.go
+++ b/internal/process/manager.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sourcegraph/conc"
 
+	"github.com/lovagedyke/lovagedyke/internal/httpserver"
 	"github.com/lovagedyke/lovagedyke/internal/manager"
-	"github.com/lovagedyke/lovagedyke/internal/port"
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 	"github.com/lovagedyke/lovagedyke/internal/settings"
 )
@@ -31,7 +31,7 @@
 		ClaimRetention: config.ClaimRetention, Log: logger,
 	})
 	p.node.Add(m)
-	if err := p.openInternalPorts(m.Service(), func() any { return m.Snapshot() }); err != nil {
+	if err := p.startInternalServers(m.Service(), func() any { return m.Snapshot() }); err != nil {
 		return err
 	}
 
@@ -45,7 +45,7 @@
 	}
 	running.Go(func() { <-p.node.Run(loopCtx) })
 	running.Go(func() { <-m.Run(loopCtx) })
-	operators, err := p.openOperators(m.Handler(operatorKey))
+	operatorServer, err := p.startOperatorServer(m.Handler(operatorKey))
 	if err != nil {
 		return err
 	}
@@ -54,31 +54,32 @@
 
 	select {
 	case <-ctx.Done():
-	case err := <-operators.Done():
+	case err := <-operatorServer.Done():
 		return err
 	case <-p.watchDropped(loopCtx):
-		return errors.CombineErrors(errDropped, p.stopManager(m, operators))
+		return errors.CombineErrors(errDropped, p.stopManager(m, operatorServer))
 	}
-	return p.stopManager(m, operators)
+	return p.stopManager(m, operatorServer)
 }
 
-// openOperators opens the operators' port, with TLS if certificates are configured.
-func (p *process) openOperators(handler http.Handler) (*port.Port, error) {
-	config := port.Config{Name: "operator", Address: p.config.OperatorAddress, Handler: handler}
+// startOperatorServer starts the operators' server, with TLS if certificates are
+// configured.
+func (p *process) startOperatorServer(handler http.Handler) (*httpserver.Server, error) {
+	config := httpserver.Config{Name: "operator", Address: p.config.OperatorAddress, Handler: handler}
 	if p.operatorCerts != nil {
 		config.TLS = p.operatorCerts.Server()
 	}
-	return p.open(config)
+	return p.startServer(config)
 }
 
 // stopManager stops a manager gracefully.
-func (p *process) stopManager(m *manager.Manager, operators *port.Port) error {
+func (p *process) stopManager(m *manager.Manager, operatorServer *httpserver.Server) error {
 	p.log.Info("stopping", "grace", p.config.Grace)
 	p.setReady(errDraining)
-	operators.Drain()
+	operatorServer.Drain()
 	requestCtx, cancel := context.WithTimeout(context.Background(), p.config.Grace)
 	defer cancel()
-	err := operators.Shutdown(requestCtx)
+	err := operatorServer.Shutdown(requestCtx)
 	m.Finish()
 	handOverCtx, cancel := context.WithTimeout(context.Background(), p.config.Grace/handOverDivisor+time.Second)
 	defer cancel()
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -7,12 +7,12 @@
 //	err := process.RunManager(ctx, config, logger)
 //	err := process.RunNode(ctx, nodeConfig)
 //
-// Startup of an entry or a manager: it opens the operations and peer ports, joins
-// the roster, and then opens its own port and is ready. Shutdown: it reports not
-// ready, waits for the load balancer (entries only), finishes the requests in
-// flight, hands over permits and claims, waits until the roster has dropped it,
-// and exits. A node has no roster: at shutdown it reports not ready, releases the
-// leadership, waits for the load balancer and closes its ports.
+// Startup of an entry or a manager: it starts the operations and peer servers,
+// joins the roster, and then starts its own server and is ready. Shutdown: it
+// reports not ready, waits for the load balancer (entries only), finishes the
+// requests in flight, hands over permits and claims, waits until the roster has
+// dropped it, and exits. A node has no roster: at shutdown it reports not ready,
+// releases the leadership, waits for the load balancer and closes its ports.
 package process
 
 import (
@@ -24,12 +24,12 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/lovagedyke/lovagedyke/internal/certs"
+	"github.com/lovagedyke/lovagedyke/internal/httpserver"
 	"github.com/lovagedyke/lovagedyke/internal/node"
 	"github.com/lovagedyke/lovagedyke/internal/operations"
 	"github.com/lovagedyke/lovagedyke/internal/peer"
 	"github.com/lovagedyke/lovagedyke/internal/peer/peerpb"
 	"github.com/lovagedyke/lovagedyke/internal/platform"
-	"github.com/lovagedyke/lovagedyke/internal/port"
 	"github.com/lovagedyke/lovagedyke/internal/roster"
 	"github.com/lovagedyke/lovagedyke/internal/settings"
 )
@@ -62,13 +62,13 @@
 	log      *log.Logger
 	platform *platform.Client
 	dialer   *peer.Dialer
-	// peerCerts and operatorCerts are nil for ports without TLS.
+	// peerCerts and operatorCerts are nil for servers without TLS.
 	peerCerts     *certs.Files
 	operatorCerts *certs.Files
 	node          *node.Node
 	secret        string
 	notReady      atomic.Pointer[error]
-	ports         []*port.Port
+	servers       []*httpserver.Server
 }
 
 // newProcess creates the parts that entries and managers have in common.
@@ -113,33 +113,33 @@
 // ready returns nil, or the reason for not being ready.
 func (p *process) ready() error { return *p.notReady.Load() }
 
-// open opens a port, which close closes.
-func (p *process) open(config port.Config) (*port.Port, error) {
+// startServer starts a server, which close closes.
+func (p *process) startServer(config httpserver.Config) (*httpserver.Server, error) {
 	config.MaxHeader = int(p.config.MaxHeader)
 	config.ReadHeaderTimeout = p.config.ReadHeaderTimeout
-	opened, err := port.Open(config)
+	server, err := httpserver.Start(config)
 	if err != nil {
 		return nil, err
 	}
-	p.ports = append(p.ports, opened)
-	p.log.Info("port open", "port", config.Name, "address", opened.Address())
-	return opened, nil
+	p.servers = append(p.servers, server)
+	p.log.Info("port open", "port", config.Name, "address", server.Address())
+	return server, nil
 }
 
-// openInternalPorts opens the operations and peer ports.
-func (p *process) openInternalPorts(service peerpb.Peer, dump func() any) error {
-	_, err := p.open(port.Config{
+// startInternalServers starts the operations and peer servers.
+func (p *process) startInternalServers(service peerpb.Peer, dump func() any) error {
+	_, err := p.startServer(httpserver.Config{
 		Name: "operations", Address: p.config.OperationsAddress,
 		Handler: operations.New(operations.Config{Ready: p.ready, Dump: dump}),
 	})
 	if err != nil {
 		return err
 	}
-	peerPort := port.Config{Name: "peer", Address: p.config.PeerAddress, Handler: peer.Handler(p.secret, service)}
+	peerConfig := httpserver.Config{Name: "peer", Address: p.config.PeerAddress, Handler: peer.Handler(p.secret, service)}
 	if p.peerCerts != nil {
-		peerPort.TLS = p.peerCerts.Server()
+		peerConfig.TLS = p.peerCerts.Server()
 	}
-	_, err = p.open(peerPort)
+	_, err = p.startServer(peerConfig)
 	return err
 }
 
@@ -158,7 +158,7 @@
 	}
 }
 
-// reload reloads one port's certificates if their files have changed.
+// reload reloads one server's certificates if their files have changed.
 func (p *process) reload(name string, files *certs.Files) {
 	if files == nil {
 		return
@@ -171,7 +171,7 @@
 	}
 }
 
-// loadCerts returns nil for a port without TLS.
+// loadCerts returns nil for a server without TLS.
 func loadCerts(files settings.TLSFiles) (*certs.Files, error) {
 	if !files.Enabled() {
 		return nil, nil
@@ -201,11 +201,11 @@
 	p.log.Warn("process still in the roster at the end of the grace period")
 }
 
-// close closes all ports and connections.
+// close closes all servers and connections.
 func (p *process) close() {
-	for _, opened := range p.ports {
-		_ = opened.Close()
-		<-opened.Done()
+	for _, server := range p.servers {
+		_ = server.Close()
+		<-server.Done()
 	}
 	p.dialer.Close()
 	p.platform.Close()
