--- a/internal/call/call.go
+++ b/internal/httpclient/client.go
@@ -1,15 +1,15 @@
-// Package call makes HTTP calls and reports, for a failed call, whether the server
-// may have received the request.
+// Package httpclient makes HTTP calls and reports, for a failed call, whether the
+// server may have received the request.
 //
 // # Usage
 //
-//	client := call.New(call.Config{Timeout: 2 * time.Second})
+//	client := httpclient.New(httpclient.Config{Timeout: 2 * time.Second})
 //	response, err := client.Do(ctx, http.MethodPost, url, body)
 //	switch {
-//	case errors.Is(err, call.ErrNotSent): // had no effect
-//	case err != nil:                      // may have had an effect
+//	case errors.Is(err, httpclient.ErrNotSent): // had no effect
+//	case err != nil:                            // may have had an effect
 //	}
-package call
+package httpclient
 
 import (
 	"bytes"
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -27,7 +27,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/lovagedyke/lovagedyke/internal/call"
+	"github.com/lovagedyke/lovagedyke/internal/httpclient"
 	"github.com/lovagedyke/lovagedyke/internal/table"
 )
 
@@ -39,14 +39,14 @@
 	Address netip.AddrPort
 	// Process is sent with each call, for the platform's statistics.
 	Process string
-	// Timeout bounds each call; zero means call.DefaultTimeout.
+	// Timeout bounds each call; zero means httpclient.DefaultTimeout.
 	Timeout time.Duration
 }
 
 // Client calls the platform. It is safe for concurrent use.
 type Client struct {
 	baseURL string
-	client  *call.Client
+	client  *httpclient.Client
 }
 
 var _ table.Store = (*Client)(nil)
@@ -56,7 +56,7 @@
 	header := http.Header{ProcessHeader: {cfg.Process}}
 	return &Client{
 		baseURL: "http://" + cfg.Address.String(),
-		client:  call.New(call.Config{Timeout: cfg.Timeout, Header: header}),
+		client:  httpclient.New(httpclient.Config{Timeout: cfg.Timeout, Header: header}),
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 	response, err := c.client.Do(ctx, http.MethodPost, c.baseURL+CommitPath, body)
 	switch {
-	case errors.Is(err, call.ErrNotSent):
+	case errors.Is(err, httpclient.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "commit: %v", err)
 	case err != nil && response.Status != http.StatusConflict:
 		return errors.Wrapf(table.ErrUnknown, "commit: %v", err)
@@ -113,7 +113,7 @@
 func (c *Client) Reboot(ctx context.Context, name string) error {
 	response, err := c.client.Do(ctx, http.MethodPost, c.baseURL+HostsPath+"/"+url.PathEscape(name)+RebootAction, nil)
 	switch {
-	case errors.Is(err, call.ErrNotSent):
+	case errors.Is(err, httpclient.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "reboot %q: %v", name, err)
 	case err != nil:
 		return errors.Wrapf(table.ErrUnknown, "reboot %q: %v", name, err)
@@ -125,7 +125,7 @@
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	response, err := c.client.Do(ctx, http.MethodPut, c.baseURL+objectPath(name), data)
 	switch {
-	case errors.Is(err, call.ErrNotSent):
+	case errors.Is(err, httpclient.ErrNotSent):
 		return errors.Wrapf(table.ErrUnavailable, "put object %q: %v", name, err)
 	case err != nil:
 		return errors.Wrapf(table.ErrUnknown, "put object %q: %v", name, err)
@@ -177,7 +177,7 @@
 }
 
 // errorFromResponse maps the response to a write onto the errors of table.Store.
-func errorFromResponse(response call.Response) error {
+func errorFromResponse(response httpclient.Response) error {
 	switch response.Status {
 	case http.StatusOK, http.StatusNoContent:
 		return nil
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -23,7 +23,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/lovagedyke/lovagedyke/internal/call"
+	"github.com/lovagedyke/lovagedyke/internal/httpclient"
 )
 
 // Errors of a Client.
@@ -46,18 +46,18 @@
 
 // Config configures a Client.
 type Config struct {
-	// Timeout bounds one call. The default is call.DefaultTimeout.
+	// Timeout bounds one call. The default is httpclient.DefaultTimeout.
 	Timeout time.Duration
 }
 
 // Client calls workers. It is safe for concurrent use.
 type Client struct {
-	client *call.Client
+	client *httpclient.Client
 }
 
 // New returns a Client that connects on its first call.
 func New(cfg Config) *Client {
-	return &Client{client: call.New(call.Config{Timeout: cfg.Timeout})}
+	return &Client{client: httpclient.New(httpclient.Config{Timeout: cfg.Timeout})}
 }
 
 // Close closes idle connections.
@@ -133,7 +133,7 @@
 	}
 	response, err := c.client.Do(ctx, method, "http://"+address.String()+path, body)
 	switch {
-	case errors.Is(err, call.ErrNotSent):
+	case errors.Is(err, httpclient.ErrNotSent):
 		return errors.Wrapf(ErrUnreachable, "%s %s: %v", address, path, err)
 	case err != nil:
 		return errors.Wrapf(ErrUnknown, "%s %s: %v", address, path, err)
@@ -147,7 +147,7 @@
 }
 
 // refusalError returns the error for a response that refuses a call.
-func refusalError(response call.Response) error {
+func refusalError(response httpclient.Response) error {
 	var body Refusal
 	// Without a known reason, the call may have taken effect.
 	_ = json.Unmarshal(response.Body, &body)
