--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -108,12 +108,12 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			port := httptest.NewUnstartedServer(http.NotFoundHandler())
-			port.TLS = server.Server()
-			port.StartTLS()
-			defer port.Close()
+			httpServer := httptest.NewUnstartedServer(http.NotFoundHandler())
+			httpServer.TLS = server.Server()
+			httpServer.StartTLS()
+			defer httpServer.Close()
 			client := http.Client{Transport: &http.Transport{TLSClientConfig: tc.client, DisableKeepAlives: true}}
-			response, err := client.Get(port.URL)
+			response, err := client.Get(httpServer.URL)
 			if err == nil {
 				_ = response.Body.Close()
 			}
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -32,40 +32,40 @@
 }
 
 // Port handles the requests of the operations port.
-type Port struct {
+type Handler struct {
 	config Config
 	router *httprouter.Router
 }
 
 // New returns a Port.
-func New(config Config) *Port {
-	port := &Port{config: config, router: httprouter.New()}
-	port.router.GET("/metrics", port.metrics)
-	port.router.GET("/healthz", port.healthz)
-	port.router.GET("/readyz", port.readyz)
-	port.router.GET("/dump", port.dump)
-	return port
+func New(config Config) *Handler {
+	h := &Handler{config: config, router: httprouter.New()}
+	h.router.GET("/metrics", h.metrics)
+	h.router.GET("/healthz", h.healthz)
+	h.router.GET("/readyz", h.readyz)
+	h.router.GET("/dump", h.dump)
+	return h
 }
 
 // ServeHTTP implements http.Handler.
-func (p *Port) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	p.router.ServeHTTP(w, r)
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.router.ServeHTTP(w, r)
 }
 
 // metrics writes the metrics in the Prometheus text format.
-func (p *Port) metrics(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (h *Handler) metrics(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	metrics.WritePrometheus(w, true)
 }
 
 // healthz reports that the process runs.
-func (p *Port) healthz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (h *Handler) healthz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	_, _ = w.Write([]byte("ok\n"))
 }
 
 // readyz reports to the load balancer whether to send requests to this process.
-func (p *Port) readyz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	if err := p.config.Ready(); err != nil {
+func (h *Handler) readyz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+	if err := h.config.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -73,11 +73,11 @@
 }
 
 // dump writes the process's state as JSON.
-func (p *Port) dump(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (h *Handler) dump(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	if err := encoder.Encode(p.config.Dump()); err != nil {
+	if err := encoder.Encode(h.config.Dump()); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	}
 }
--- a/internal/operations/operations_test.go
+++ b/internal/operations/operations_test.go
@@ -10,7 +10,7 @@
 	"github.com/lovagedyke/lovagedyke/internal/operations"
 )
 
-func TestPort(t *testing.T) {
+func TestHandler(t *testing.T) {
 	draining := errors.New("draining")
 	tests := map[string]struct {
 		path       string
@@ -26,12 +26,12 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			port := operations.New(operations.Config{
+			handler := operations.New(operations.Config{
 				Ready: func() error { return tc.ready },
 				Dump:  func() any { return map[string]int{"roster-version": 7} },
 			})
 			recorder := httptest.NewRecorder()
-			port.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, tc.path, nil))
+			handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, tc.path, nil))
 			if got := recorder.Code; got != tc.wantStatus {
 				t.Errorf("status: got %d, want %d", got, tc.wantStatus)
 			}
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -154,7 +154,7 @@
 	// The loops outlive ctx, for a graceful shutdown.
 	workCtx, endWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer endWork()
-	listeners, err := n.listen(workCtx)
+	servers, err := n.listen(workCtx)
 	if err != nil {
 		return err
 	}
@@ -166,17 +166,17 @@
 	group.Go(n.peerFeed)
 	group.Go(n.announceLoop)
 	group.Go(n.hintLoop)
-	for _, l := range listeners {
-		group.Go(l.serve)
+	for _, s := range servers {
+		group.Go(s.serve)
 	}
 	group.Go(n.reloadLoop)
 	select {
 	case <-ctx.Done():
-		n.stop(listeners)
+		n.stop(servers)
 	case <-group.Done():
 		// A loop has panicked over a broken invariant; Wait repeats the panic.
-		for _, l := range listeners {
-			_ = l.server.Close()
+		for _, s := range servers {
+			_ = s.http.Close()
 		}
 	}
 	endWork()
@@ -187,7 +187,7 @@
 
 // stop shuts down gracefully: it reports not ready, releases the leadership,
 // waits until the load balancer has noticed, and drains the ports.
-func (n *nodeProcess) stop(listeners []*listener) {
+func (n *nodeProcess) stop(servers []*nodeServer) {
 	deadline := time.Now().Add(n.settings.Bounds.Grace - shutdownReserve)
 	n.journal.Info("stopping", "grace", n.settings.Bounds.Grace.String())
 	n.stopping.Store(true)
@@ -200,8 +200,8 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	for _, l := range listeners {
-		l.stop(ctx)
+	for _, s := range servers {
+		s.stop(ctx)
 	}
 }
 
@@ -218,16 +218,16 @@
 }
 
 // listener is an open port with its HTTP server.
-type listener struct {
-	name    string
-	socket  net.Listener
-	server  *http.Server
-	journal *journal.Journal
+type nodeServer struct {
+	name     string
+	listener net.Listener
+	http     *http.Server
+	journal  *journal.Journal
 }
 
 // listen opens all ports. A port that is in use is an error, which ends the
 // process.
-func (n *nodeProcess) listen(ctx context.Context) ([]*listener, error) {
+func (n *nodeProcess) listen(ctx context.Context) ([]*nodeServer, error) {
 	readiness := httprouter.New()
 	readiness.GET(platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		if err := n.ready(); err != nil {
@@ -235,7 +235,7 @@
 		}
 	})
 	service := member.NewService(member.ServiceConfig{Node: n.member, Fleet: n.control, Policy: n.holder, OnPolicyHint: n.queueHint})
-	ports := []struct {
+	specs := []struct {
 		name    string
 		address netip.AddrPort
 		handler http.Handler
@@ -245,33 +245,33 @@
 		{"peers", n.settings.Peers, memberpb.NewMemberServer(service)},
 		{"metrics", n.config.Metrics, operations.New(operations.Config{Ready: n.ready, Dump: n.dump})},
 	}
-	var listeners []*listener
-	for _, port := range ports {
-		if !port.address.IsValid() {
+	var servers []*nodeServer
+	for _, spec := range specs {
+		if !spec.address.IsValid() {
 			continue
 		}
-		socket, err := (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", port.address.String())
+		listener, err := (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", spec.address.String())
 		if err != nil {
-			return nil, errors.Wrapf(err, "open the port for %s", port.name)
+			return nil, errors.Wrapf(err, "open the port for %s", spec.name)
 		}
-		listeners = append(listeners, &listener{name: port.name, socket: socket, journal: n.journal, server: &http.Server{
-			Handler: port.handler, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout, MaxHeaderBytes: maxHeaderBytes,
+		servers = append(servers, &nodeServer{name: spec.name, listener: listener, journal: n.journal, http: &http.Server{
+			Handler: spec.handler, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout, MaxHeaderBytes: maxHeaderBytes,
 		}})
 	}
-	return listeners, nil
+	return servers, nil
 }
 
 // serve handles requests until the server is stopped.
-func (l *listener) serve(context.Context) {
-	if err := l.server.Serve(l.socket); !errors.Is(err, http.ErrServerClosed) {
-		l.journal.Info("port closed unexpectedly", "port", l.name, "error", err.Error())
+func (s *nodeServer) serve(context.Context) {
+	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+		s.journal.Info("port closed unexpectedly", "port", s.name, "error", err.Error())
 	}
 }
 
 // stop closes the port once its requests are answered, or when ctx ends.
-func (l *listener) stop(ctx context.Context) {
-	if err := l.server.Shutdown(ctx); err != nil {
-		l.journal.Info("port closed with requests in progress", "port", l.name, "error", err.Error())
+func (s *nodeServer) stop(ctx context.Context) {
+	if err := s.http.Shutdown(ctx); err != nil {
+		s.journal.Info("port closed with requests in progress", "port", s.name, "error", err.Error())
 	}
-	_ = l.server.Close()
+	_ = s.http.Close()
 }
