--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -65,7 +65,7 @@
 	return true, nil
 }
 
-// Server returns the TLS configuration of a port that accepts only clients whose
+// Server returns the TLS configuration of a server that accepts only clients whose
 // certificates are signed by the authority.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
@@ -82,7 +82,7 @@
 	}
 }
 
-// Client returns the TLS configuration for connections to such a port.
+// Client returns the TLS configuration for connections to such a server.
 func (f *Files) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
--- a/internal/charge/recorder.go
+++ b/internal/charge/recorder.go
@@ -75,7 +75,7 @@
 	Held []Record        `json:"held"`
 }
 
-// Forget tells the peer that these records are in the table.
+// Forget notifies the peer that these records are in the table.
 type Forget struct {
 	To      roster.Identity `json:"to"`
 	Records []Record        `json:"entries"`
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -186,7 +186,7 @@
 }
 
 // mergeConflicting merges two different attempts of one generation. At most one of
-// them was granted, and the records do not always tell which.
+// them was granted, and the records do not always show which.
 func mergeConflicting(a, b Record) Record {
 	switch {
 	case a.State == StateRan:
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// When a reused connection closes before the response, net/http by itself
-// replays some requests, among them those with an Idempotency-Key.
+// When a reused connection closes before the response, net/http replays
+// some requests automatically, among them those with an Idempotency-Key.
 func TestIdempotentRequestNotReplayedOnReusedConnection(t *testing.T) {
 	first := true
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// nonReplayableBody keeps net/http from retrying a request by itself: net/http
+// nonReplayableBody keeps net/http from retrying a request: net/http
 // never replays a request whose body cannot be rewound, even if it is empty.
 type nonReplayableBody struct {
 	io.Reader
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -54,7 +54,7 @@
 	StatusRetention time.Duration
 	// Stop is the maximum time that an endpoint takes to stop a run.
 	Stop time.Duration
-	// Move and Maintenance are how long a host is away for a move and for maintenance.
+	// Move and Maintenance are how long a host is unavailable during a move and maintenance.
 	Move, Maintenance time.Duration
 	// HostChangeExclusion is the time within which two leaders must not change the same host.
 	HostChangeExclusion time.Duration
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -198,7 +198,7 @@
 	return false
 }
 
-// changeAccepted handles a host that has gone away for its change: its runs are lost.
+// changeAccepted handles a host that has become unavailable for its change: its runs are lost.
 func (l *Leader) changeAccepted(h *hostState, now time.Time) {
 	c := h.pendingChange
 	c.acceptedAt, c.isUnconfirmed = now, false
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -74,9 +74,10 @@
 	c.client.CloseIdleConnections()
 }
 
-// Do makes one request and reads the whole response. An error marked ErrNotSent means
-// that the request was not sent. If the body is cut off, Do returns an error and
-// the response's status.
+// Do makes one request and reads up to maxResponseBytes of the response body; the
+// rest of a longer body is dropped without an error. An error marked ErrNotSent
+// means that the request was not sent. If reading the body fails, Do returns the
+// error together with the response's status and the part that was read.
 func (c *Client) Do(ctx context.Context, method, url string, body []byte) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/internal/limit/plan.go
+++ b/internal/limit/plan.go
@@ -22,7 +22,7 @@
 type PlanInput struct {
 	// Row is the row as read; generation 0 means that there is none.
 	Row Allocation
-	// Limit is the limit that the catalogue asks for.
+	// Limit is the limit set in the catalogue.
 	Limit int
 	// Live lists the processes that should hold permits.
 	Live []Member
--- a/internal/limit/planner.go
+++ b/internal/limit/planner.go
@@ -12,7 +12,7 @@
 type View struct {
 	// Row is the team's row; without one, only Row.Team is set.
 	Row Allocation
-	// Limit is the limit that the catalogue asks for.
+	// Limit is the limit set in the catalogue.
 	Limit int
 	// LongestRun bounds how long work can run on after its member has ended.
 	LongestRun time.Duration
--- a/internal/limit/simulation_test.go
+++ b/internal/limit/simulation_test.go
@@ -215,7 +215,7 @@
 	s.release(done)
 }
 
-// timeOut ends a request for its caller while its work goes on.
+// timeOut ends a request for its caller while its work continues.
 func (s *simulation) timeOut(i int) {
 	timedOut := s.running[i]
 	if timedOut.lingering || timedOut.unbacked || timedOut.owner.dead || timedOut.owner.paused {
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -1,13 +1,13 @@
-// Package operations implements the operations port of a process: its metrics, its
-// health and readiness checks, and a dump of its state.
+// Package operations implements the HTTP handler that operators and the load balancer
+// use: a process's metrics, its health and readiness checks, and a dump of its state.
 //
 // # Usage
 //
-//	port := operations.New(operations.Config{
+//	handler := operations.New(operations.Config{
 //		Ready: node.Ready,
 //		Dump:  func() any { return node.Snapshot() },
 //	})
-//	server.Handler = port
+//	server.Handler = handler
 //
 // GET /metrics returns the metrics in the Prometheus text format. /healthz returns
 // 200 while the process runs. /readyz returns 200, or 503 with the reason why the
@@ -22,7 +22,7 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Config configures a Port.
+// Config configures a Handler.
 type Config struct {
 	// Ready returns nil if the process accepts work, or an error that says why
 	// not.
@@ -31,13 +31,13 @@
 	Dump func() any
 }
 
-// Port handles the requests of the operations port.
+// Handler serves metrics, health checks and state dumps.
 type Handler struct {
 	config Config
 	router *httprouter.Router
 }
 
-// New returns a Port.
+// New returns a Handler.
 func New(config Config) *Handler {
 	h := &Handler{config: config, router: httprouter.New()}
 	h.router.GET("/metrics", h.metrics)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -248,7 +248,7 @@
 	return false, len(p.workers) > 0
 }
 
-// Need returns the expected usage of the task, at most a whole worker. Memory is
+// Need returns the expected usage of the task, at most the size of a worker. Memory is
 // doubled for each run that failed for lack of memory.
 func (p *Placer) Need(d Demand) Size {
 	need := d.Declared
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -171,7 +171,7 @@
 		return errors.Wrapf(table.ErrUnavailable, "%s: status %d", path, response.Status)
 	}
 	if err := json.Unmarshal(response.Body, into); err != nil {
-		return errors.Wrapf(table.ErrUnavailable, "%s: answer cannot be decoded: %v", path, err)
+		return errors.Wrapf(table.ErrUnavailable, "%s: response cannot be decoded: %v", path, err)
 	}
 	return nil
 }
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -149,7 +149,7 @@
 	n.member.ObserveStore(err)
 }
 
-// run opens the ports and runs all loops until ctx ends.
+// run starts the servers and runs all loops until ctx ends.
 func (n *nodeProcess) run(ctx context.Context) error {
 	// The loops outlive ctx, for a graceful shutdown.
 	workCtx, endWork := context.WithCancel(context.WithoutCancel(ctx))
@@ -186,7 +186,7 @@
 }
 
 // stop shuts down gracefully: it reports not ready, releases the leadership,
-// waits until the load balancer has noticed, and drains the ports.
+// waits until the load balancer has noticed, and drains the servers.
 func (n *nodeProcess) stop(servers []*nodeServer) {
 	deadline := time.Now().Add(n.settings.Bounds.Grace - shutdownReserve)
 	n.journal.Info("stopping", "grace", n.settings.Bounds.Grace.String())
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// listener is an open port with its HTTP server.
+// nodeServer is an HTTP server with its open listener.
 type nodeServer struct {
 	name     string
 	listener net.Listener
@@ -225,8 +225,8 @@
 	journal  *journal.Journal
 }
 
-// listen opens all ports. A port that is in use is an error, which ends the
-// process.
+// listen opens the listeners of all servers. An address that is in use is an
+// error, which ends the process.
 func (n *nodeProcess) listen(ctx context.Context) ([]*nodeServer, error) {
 	readiness := httprouter.New()
 	readiness.GET(platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -268,7 +268,7 @@
 	}
 }
 
-// stop closes the port once its requests are answered, or when ctx ends.
+// stop shuts the server down once its requests are answered, or when ctx ends.
 func (s *nodeServer) stop(ctx context.Context) {
 	if err := s.http.Shutdown(ctx); err != nil {
 		s.journal.Info("port closed with requests in progress", "port", s.name, "error", err.Error())
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -12,7 +12,7 @@
 // reports not ready, waits for the load balancer (entries only), finishes the
 // requests in flight, hands over permits and claims, waits until the roster has
 // dropped it, and exits. A node has no roster: at shutdown it reports not ready,
-// releases the leadership, waits for the load balancer and closes its ports.
+// releases the leadership, waits for the load balancer and shuts its servers down.
 package process
 
 import (
--- a/internal/revision/replica.go
+++ b/internal/revision/replica.go
@@ -120,8 +120,8 @@
 	return true
 }
 
-// ApplyChange applies a change that starts at the replica's revision, or that
-// is whole and newer. It reports whether it did.
+// ApplyChange applies a change that starts at the replica's revision, or a newer
+// one that holds the complete state. It reports whether it did.
 func (r *Replica) ApplyChange(change Change) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,7 +160,7 @@
 }
 
 // Behind reports whether a newer revision than the replica's is known to exist.
-// The owner then loads the state, or requests a whole one from a peer.
+// The owner then loads the state, or requests the complete state from a peer.
 func (r *Replica) Behind() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/revision/state.go
+++ b/internal/revision/state.go
@@ -67,7 +67,7 @@
 }
 
 // Snapshot returns the change from the empty state to s, which transfers the
-// whole state to a process that has none.
+// complete state to a process that has none.
 func (s State) Snapshot() (Change, error) {
 	rows, err := s.Rows()
 	change := Change{Revision: s.Revision, Whole: true}
@@ -82,7 +82,7 @@
 	Base     uint64        `json:"base"`
 	Revision uint64        `json:"revision"`
 	Rows     []table.Write `json:"rows,omitempty"`
-	// Whole means that the rows are the whole state and replace any other.
+	// Whole means that the rows are the complete state and replace any other.
 	Whole bool `json:"whole,omitempty"`
 }
 
@@ -93,8 +93,8 @@
 }
 
 // Apply returns the state after a change. It only moves forward: ok is false if
-// the change is not newer, is malformed, or is not whole and does not start at
-// the state's revision.
+// the change is not newer, is malformed, or neither holds the complete state
+// nor starts at the state's revision.
 func Apply(state State, change Change) (next State, ok bool) {
 	switch {
 	case change.Revision <= state.Revision:
--- a/internal/wave/wave.go
+++ b/internal/wave/wave.go
@@ -50,7 +50,7 @@
 const (
 	// Proceed: take down the hosts in Start, if any.
 	Proceed Verdict = "go"
-	// Hold: no host may be taken down now; the wave resumes by itself.
+	// Hold: no host may be taken down now; the wave resumes automatically.
 	Hold Verdict = "hold"
 	// Stopped: hosts did not come back from maintenance. The wave resumes once
 	// an operator resumes it, or the hosts are repaired and the cool-down ends.
