--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -176,7 +176,7 @@
 	case <-group.Done():
 		// A loop has panicked over a broken invariant; Wait repeats the panic.
 		for _, s := range servers {
-			_ = s.http.Close()
+			_ = s.server.Close()
 		}
 	}
 	endWork()
@@ -221,7 +221,7 @@
 type nodeServer struct {
 	name     string
 	listener net.Listener
-	http     *http.Server
+	server   *http.Server
 	journal  *journal.Journal
 }
 
@@ -254,7 +254,7 @@
 		if err != nil {
 			return nil, errors.Wrapf(err, "open the port for %s", spec.name)
 		}
-		servers = append(servers, &nodeServer{name: spec.name, listener: listener, journal: n.journal, http: &http.Server{
+		servers = append(servers, &nodeServer{name: spec.name, listener: listener, journal: n.journal, server: &http.Server{
 			Handler: spec.handler, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout, MaxHeaderBytes: maxHeaderBytes,
 		}})
 	}
@@ -263,15 +263,15 @@
 
 // serve handles requests until the server is stopped.
 func (s *nodeServer) serve(context.Context) {
-	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		s.journal.Info("port closed unexpectedly", "port", s.name, "error", err.Error())
 	}
 }
 
 // stop shuts the server down once its requests are answered, or when ctx ends.
 func (s *nodeServer) stop(ctx context.Context) {
-	if err := s.http.Shutdown(ctx); err != nil {
+	if err := s.server.Shutdown(ctx); err != nil {
 		s.journal.Info("port closed with requests in progress", "port", s.name, "error", err.Error())
 	}
-	_ = s.http.Close()
+	_ = s.server.Close()
 }
--- a/internal/task/simulation_test.go
+++ b/internal/task/simulation_test.go
@@ -60,7 +60,7 @@
 	managers []*manager
 	epoch    uint64
 	delayed  []func()
-	// noWorkerLoss is set if no worker crashes or goes away, so that no outcome may
+	// noWorkerLoss is set if no worker crashes or is removed, so that no outcome may
 	// stay unknown.
 	noWorkerLoss bool
 	// specs are the submitted tasks. runs counts the starts of each task, succeeded
