--- a/cmd/lovagedyke/cmd_catalogue_apply.go
+++ b/cmd/lovagedyke/cmd_catalogue_apply.go
@@ -60,7 +60,7 @@
 		fmt.Fprintln(env.Stdout, difference)
 	}
 	if dryRun {
-		env.printInfo("%d changes against revision %d, nothing applied", len(preview.Changes), preview.Revision)
+		env.printInfo("dry run: %d changes against revision %d, nothing applied", len(preview.Changes), preview.Revision)
 		return nil
 	}
 	c.ensureOperation()
--- a/cmd/lovagedyke/cmd_charge.go
+++ b/cmd/lovagedyke/cmd_charge.go
@@ -21,7 +21,7 @@
 var cmdChargeTrace = &Cmd{
 	Name:  "trace",
 	Args:  "[flags] <id>",
-	Desc:  "show the run that a charge rests on",
+	Desc:  "show the run behind a charge",
 	Setup: setupChargeTrace,
 }
 
@@ -51,7 +51,7 @@
 var cmdChargeUnproven = &Cmd{
 	Name: "unproven",
 	Args: "[flags]",
-	Desc: "list runs that cannot be proved and are not charged",
+	Desc: "list runs that lack evidence and are not charged",
 	Setup: listCommand[[]api.Run]{
 		header: runHeader,
 		fetch:  (*client.Client).Unproven,
--- a/cmd/lovagedyke/cmd_check.go
+++ b/cmd/lovagedyke/cmd_check.go
@@ -13,16 +13,16 @@
 var cmdCheck = &Cmd{
 	Name:  "check",
 	Args:  "[flags] [<catalogue file>...]",
-	Desc:  "check settings and catalogue files offline, with every mistake",
+	Desc:  "check settings and catalogue files offline and report all errors",
 	Setup: setupCheck,
 }
 
 func setupCheck(flags *flag.FlagSet, _ *Env) Action {
 	file := flags.String("settings", "", "settings file to check")
-	role := flags.String("role", "", "check that the settings are enough for an entry or a manager")
+	role := flags.String("role", "", "role to check the settings for: entry or manager")
 	return func(_ context.Context, env *Env, args []string) error {
 		if *file == "" && len(args) == 0 {
-			return usagef("nothing to check, want -settings or catalogue files")
+			return usagef("nothing to check: pass -settings or catalogue files")
 		}
 		var problems problem.List
 		if *file != "" {
--- a/cmd/lovagedyke/cmd_dump.go
+++ b/cmd/lovagedyke/cmd_dump.go
@@ -25,7 +25,7 @@
 var cmdDump = &Cmd{
 	Name:  "dump",
 	Args:  "<operations address>",
-	Desc:  "print the whole state of a process as JSON",
+	Desc:  "print the state of a process as JSON",
 	Setup: func(*flag.FlagSet, *Env) Action { return dump },
 }
 
@@ -50,7 +50,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("process at %s answered %s", address, response.Status)
+		return fmt.Errorf("process at %s returned status %s", address, response.Status)
 	}
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxDumpBytes))
 	if err != nil {
--- a/cmd/lovagedyke/cmd_entry.go
+++ b/cmd/lovagedyke/cmd_entry.go
@@ -11,7 +11,7 @@
 var cmdEntry = &Cmd{
 	Name:   "entry",
 	Args:   "[settings]",
-	Desc:   "take callers' requests and send them to endpoints",
+	Desc:   "run an entry: accept callers' requests and forward them to endpoints",
 	Action: entry,
 }
 
--- a/cmd/lovagedyke/cmd_explain.go
+++ b/cmd/lovagedyke/cmd_explain.go
@@ -15,7 +15,7 @@
 var cmdExplain = &Cmd{
 	Name:   "explain",
 	Args:   "<id> <log> ...",
-	Desc:   "tell from the processes' logs what became of a job",
+	Desc:   "show a job's timeline from the processes' logs",
 	Action: explainJob,
 }
 
--- a/cmd/lovagedyke/cmd_host.go
+++ b/cmd/lovagedyke/cmd_host.go
@@ -19,7 +19,7 @@
 var cmdHost = &Cmd{
 	Name:        "host",
 	Args:        "list|drain|move|return",
-	Desc:        "list hosts, take them out of service and back, and move them",
+	Desc:        "list, drain, move and return hosts",
 	Subcommands: []*Cmd{cmdHostList, cmdHostDrain, cmdHostMove, cmdHostReturn},
 }
 
@@ -62,7 +62,7 @@
 var cmdHostMove = &Cmd{
 	Name:  "move",
 	Args:  "[flags] <host> <pool>",
-	Desc:  "drain a host and have it serve another pool",
+	Desc:  "drain a host and move it to another pool",
 	Setup: setupHostMove,
 }
 
@@ -78,7 +78,7 @@
 var cmdHostReturn = &Cmd{
 	Name:  "return",
 	Args:  "[flags] <host>",
-	Desc:  "have a host serve its pool again",
+	Desc:  "return a host to service in its pool",
 	Setup: setupHostReturn,
 }
 
--- a/cmd/lovagedyke/cmd_key.go
+++ b/cmd/lovagedyke/cmd_key.go
@@ -13,14 +13,14 @@
 var cmdKey = &Cmd{
 	Name:        "key",
 	Args:        "give|withdraw|list",
-	Desc:        "give, withdraw or list teams' keys",
+	Desc:        "issue, withdraw or list teams' keys",
 	Subcommands: []*Cmd{cmdKeyGive, cmdKeyWithdraw, cmdKeyList},
 }
 
 var cmdKeyGive = &Cmd{
 	Name:  "give",
 	Args:  "[flags] <team>",
-	Desc:  "make a key for a team and print it, this once",
+	Desc:  "issue a key for a team and print it (it is shown only once)",
 	Setup: setupKeyGive,
 }
 
@@ -49,7 +49,7 @@
 var cmdKeyWithdraw = &Cmd{
 	Name:  "withdraw",
 	Args:  "[flags] <id>",
-	Desc:  "withdraw a key for good",
+	Desc:  "withdraw a key permanently",
 	Setup: setupKeyWithdraw,
 }
 
--- a/cmd/lovagedyke/cmd_manager.go
+++ b/cmd/lovagedyke/cmd_manager.go
@@ -11,7 +11,7 @@
 var cmdManager = &Cmd{
 	Name:   "manager",
 	Args:   "[settings]",
-	Desc:   "take operators' changes and keep pools, permits and members",
+	Desc:   "run a manager: apply operators' changes and manage pools, permits and membership",
 	Action: manager,
 }
 
--- a/cmd/lovagedyke/cmd_wave.go
+++ b/cmd/lovagedyke/cmd_wave.go
@@ -14,7 +14,7 @@
 var cmdWave = &Cmd{
 	Name:        "wave",
 	Args:        "list|start|resume|stop",
-	Desc:        "run maintenance over the hosts of a pool",
+	Desc:        "run rolling maintenance on the hosts of a pool",
 	Subcommands: []*Cmd{cmdWaveList, cmdWaveStart, cmdWaveResume, cmdWaveStop},
 }
 
@@ -54,12 +54,12 @@
 var cmdWaveStart = &Cmd{
 	Name:  "start",
 	Args:  "-need <hosts> [flags] <pool>",
-	Desc:  "start a wave over a pool",
+	Desc:  "start a maintenance wave in a pool",
 	Setup: setupWaveStart,
 }
 
 func setupWaveStart(flags *flag.FlagSet, env *Env) Action {
-	need := flags.Int("need", -1, "hosts that carry the pool's load")
+	need := flags.Int("need", -1, "number of hosts that the pool needs to carry its load")
 	return setupWaveChange(flags, env, func(ctx context.Context, managerClient *client.Client, pool string) (api.Wave, error) {
 		if *need < 0 {
 			return api.Wave{}, usagef("flag -need is missing")
@@ -71,7 +71,7 @@
 var cmdWaveResume = &Cmd{
 	Name:  "resume",
 	Args:  "[flags] <pool>",
-	Desc:  "have a wave go on that stopped because hosts failed",
+	Desc:  "resume a wave that stopped because hosts failed",
 	Setup: setupWaveResume,
 }
 
@@ -84,7 +84,7 @@
 var cmdWaveStop = &Cmd{
 	Name:  "stop",
 	Args:  "[flags] <pool>",
-	Desc:  "end a wave; no further host is taken down",
+	Desc:  "end a wave without taking down more hosts",
 	Setup: setupWaveStop,
 }
 
--- a/cmd/lovagedyke/flags.go
+++ b/cmd/lovagedyke/flags.go
@@ -26,11 +26,11 @@
 }
 
 func (c *connectionFlags) register(flags *flag.FlagSet, env *Env) {
-	flags.StringVar(&c.managers, "manager", env.Getenv("LOVAGEDYKE_MANAGER"), "operators' addresses of managers, separated by commas (LOVAGEDYKE_MANAGER)")
+	flags.StringVar(&c.managers, "manager", env.Getenv("LOVAGEDYKE_MANAGER"), "operator addresses of the managers, comma-separated (LOVAGEDYKE_MANAGER)")
 	flags.StringVar(&c.operatorKeyFile, "operator-key-file", env.Getenv("LOVAGEDYKE_OPERATOR_KEY_FILE"), "file with the operator key (LOVAGEDYKE_OPERATOR_KEY_FILE)")
-	flags.StringVar(&c.authority, "operator-authority", env.Getenv("LOVAGEDYKE_OPERATOR_AUTHORITY"), "PEM certificates that sign managers; turns TLS on (LOVAGEDYKE_OPERATOR_AUTHORITY)")
-	flags.StringVar(&c.certificate, "operator-certificate", env.Getenv("LOVAGEDYKE_OPERATOR_CERTIFICATE"), "PEM certificate to present (LOVAGEDYKE_OPERATOR_CERTIFICATE)")
-	flags.StringVar(&c.certificateKey, "operator-key", env.Getenv("LOVAGEDYKE_OPERATOR_KEY"), "PEM key of the certificate (LOVAGEDYKE_OPERATOR_KEY)")
+	flags.StringVar(&c.authority, "operator-authority", env.Getenv("LOVAGEDYKE_OPERATOR_AUTHORITY"), "PEM file of the CA that signs the managers' certificates; enables TLS (LOVAGEDYKE_OPERATOR_AUTHORITY)")
+	flags.StringVar(&c.certificate, "operator-certificate", env.Getenv("LOVAGEDYKE_OPERATOR_CERTIFICATE"), "PEM file with the client certificate (LOVAGEDYKE_OPERATOR_CERTIFICATE)")
+	flags.StringVar(&c.certificateKey, "operator-key", env.Getenv("LOVAGEDYKE_OPERATOR_KEY"), "PEM file with its private key (LOVAGEDYKE_OPERATOR_KEY)")
 }
 
 // client returns a client configured from the flags.
@@ -98,7 +98,7 @@
 func (c *changeFlags) register(flags *flag.FlagSet, env *Env) {
 	c.connectionFlags.register(flags, env)
 	flags.DurationVar(&c.wait, "wait", 0, "how long to wait until the change is in force everywhere")
-	flags.StringVar(&c.operation, "operation", "", "id of this change; repeat it to ask again after a lost answer")
+	flags.StringVar(&c.operation, "operation", "", "id of this change; reuse it to retry safely after a lost response")
 }
 
 // ensureOperation generates an operation id unless -operation is set.
--- a/cmd/lovagedyke/output.go
+++ b/cmd/lovagedyke/output.go
@@ -20,7 +20,7 @@
 )
 
 func (o *outputFlags) register(flags *flag.FlagSet) {
-	flags.StringVar(&o.format, "output", outputTable, "form of the listing: table or json")
+	flags.StringVar(&o.format, "output", outputTable, "output format: table or json")
 }
 
 // render writes value as JSON, or the header and rows as a table.
