--- a/cmd/lovagedyke/cmd_node.go
+++ b/cmd/lovagedyke/cmd_node.go
@@ -15,10 +15,10 @@
 
 var cmdNode = &Cmd{
 	Name: "node",
-	Desc: "run a node: accept callers' jobs and manage the fleet (settings file: $" + platform.SettingsVariable + ")",
+	Desc: "run a node: accept callers' jobs and manage the fleet; settings file: $" + platform.SettingsVariable,
 	Setup: func(flags *flag.FlagSet, env *Env) Action {
 		level := flags.String("log-level", "info", "log level: debug, info, warn or error")
-		port := flags.Uint("metrics-port", 0, "port that serves metrics and the state dump; 0 disables it")
+		port := flags.Uint("metrics-port", 0, "port on this host's address that serves metrics and the state dump; 0 disables it")
 		return func(ctx context.Context, env *Env, _ []string) error {
 			return node(ctx, env, *level, uint16(*port))
 		}
